--- a/bench/admission.py
+++ b/bench/admission.py
@@ -37,8 +37,10 @@
 PACE = 0.02  # seconds between a client's queries
 BLOCK = '  per_address = 64\n  per_v4_24 = 100000\n  rate = 200\n  listed = ["127.0.9.0/24"]\n  connections = 0'
 QUERY = orjson.dumps({"query": {"match": {"title": "go"}}, "_source": False, "size": 10})
-REQUEST = (b"POST /reports/_search HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n"
-           % len(QUERY)) + QUERY
+REQUEST = (
+    b"POST /reports/_search HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n"
+    % len(QUERY)
+) + QUERY
 
 
 @contextmanager
@@ -46,12 +48,39 @@
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         port, graph, admin, *ports = free_ports(3 + BOXES)
-        (folder / "broker.hcl").write_text(settings_text(
-            port=port, graph=graph, admin=admin, instances=1, cells=BOXES, shards=4, admission=admission))
-        (folder / "boxes.json").write_bytes(orjson.dumps({"boxes": [
-            {"address": f"127.0.0.1:{each}", "cell": place} for place, each in enumerate(ports)]}))
-        words = [sys.executable, "-m", "stepknot", "serve", str(folder / "broker.hcl"), "--log-level", "error"]
-        with processes(words, ports, 1.0, lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))) as pid:
+        (folder / "broker.hcl").write_text(
+            settings_text(
+                port=port,
+                graph=graph,
+                admin=admin,
+                instances=1,
+                cells=BOXES,
+                shards=4,
+                admission=admission,
+            )
+        )
+        (folder / "boxes.json").write_bytes(
+            orjson.dumps(
+                {
+                    "boxes": [
+                        {"address": f"127.0.0.1:{each}", "cell": place}
+                        for place, each in enumerate(ports)
+                    ]
+                }
+            )
+        )
+        words = [
+            sys.executable,
+            "-m",
+            "stepknot",
+            "serve",
+            str(folder / "broker.hcl"),
+            "--log-level",
+            "error",
+        ]
+        with processes(
+            words, ports, 1.0, lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
+        ) as pid:
             yield port, admin, pid
 
 
@@ -93,7 +122,9 @@
             phase, begun = self.phase, time.perf_counter()
             status = 0
             try:
-                with socket.create_connection(("127.0.0.1", self.port), 2.0, (self.address, 0)) as sock:
+                with socket.create_connection(
+                    ("127.0.0.1", self.port), 2.0, (self.address, 0)
+                ) as sock:
                     status = exchange(sock, REQUEST)
             except OSError:
                 pass
@@ -103,8 +134,12 @@
 
     def figures(self, phase: str) -> dict[str, float]:
         took = sorted(self.took.get(phase, [0.0]))
-        return {"service": self.good[phase] / len(took), "p50_ms": 1000 * took[len(took) // 2],
-                "p99_ms": 1000 * took[int(len(took) * 0.99)], "queries": len(took)}
+        return {
+            "service": self.good[phase] / len(took),
+            "p50_ms": 1000 * took[len(took) // 2],
+            "p99_ms": 1000 * took[int(len(took) * 0.99)],
+            "queries": len(took),
+        }
 
 
 class Flood:
@@ -160,10 +195,15 @@
             asker.stopped = True
         for thread in threads:
             thread.join()
-        return {"flood": dict(came), "cpu_during": cpu,
-                "seconds_to_normal": max(0.0, back),
-                **{name: {phase: asker.figures(phase) for phase in ("before", "during", "after")}
-                   for name, asker in zip(("known", "ordinary"), askers, strict=True)}}
+        return {
+            "flood": dict(came),
+            "cpu_during": cpu,
+            "seconds_to_normal": max(0.0, back),
+            **{
+                name: {phase: asker.figures(phase) for phase in ("before", "during", "after")}
+                for name, asker in zip(("known", "ordinary"), askers, strict=True)
+            },
+        }
 
 
 def flood(port: int, seconds: float) -> None:
@@ -236,9 +276,17 @@
 
 
 @click.command()
-@click.option("--seconds", type=float, default=4.0, show_default=True, help="Before and after; the flood lasts twice.")
+@click.option(
+    "--seconds",
+    type=float,
+    default=4.0,
+    show_default=True,
+    help="Before and after; the flood lasts twice.",
+)
 @click.option("--addresses", type=int, default=1_000_000, show_default=True)
-@click.option("--json", "out", type=click.Path(path_type=Path), help="Write the figures here as well.")
+@click.option(
+    "--json", "out", type=click.Path(path_type=Path), help="Write the figures here as well."
+)
 @click.option("--flood", "at", type=int, hidden=True, help="Be a flood against this port.")
 def main(seconds: float, addresses: int, out: Path | None, at: int | None) -> None:
     if at is not None:
@@ -249,18 +297,24 @@
         found[name] = episode(text, 512, seconds)
     for name in ("with", "without"):
         row = found[name]
-        click.echo(f"{name} admission: the flood saw {row['flood']}, {row['cpu_during']:.1f} s of CPU, its address is "
-                   f"served again after {row['seconds_to_normal']:.2f} s")
+        click.echo(
+            f"{name} admission: the flood saw {row['flood']}, {row['cpu_during']:.1f} s of CPU, its address is "
+            f"served again after {row['seconds_to_normal']:.2f} s"
+        )
         for who in ("known", "ordinary"):
             before = row[who]["before"]["p99_ms"]
             for phase in ("before", "during", "after"):
                 each = row[who][phase]
-                click.echo(f"  {who:<9} {phase:<7} service {each['service']:.3f}  p50 {each['p50_ms']:7.1f} ms  "
-                           f"p99 {each['p99_ms']:7.1f} ms  ({each['p99_ms'] / before:.2f} of before)")
+                click.echo(
+                    f"  {who:<9} {phase:<7} service {each['service']:.3f}  p50 {each['p50_ms']:7.1f} ms  "
+                    f"p99 {each['p99_ms']:7.1f} ms  ({each['p99_ms'] / before:.2f} of before)"
+                )
     click.echo(f"a refused connection: {found['refusal']['cpu_us']:.0f} us of CPU (aim: under 60)")
     row = found["module"]
-    click.echo(f"the module: {row['decide_us']:.1f} us a connection; from 20,000 to {addresses} distinct addresses "
-               f"this process grew by {(row['last'] - row['first']) // 1024} KB")
+    click.echo(
+        f"the module: {row['decide_us']:.1f} us a connection; from 20,000 to {addresses} distinct addresses "
+        f"this process grew by {(row['last'] - row['first']) // 1024} KB"
+    )
     if out is not None:
         out.write_bytes(orjson.dumps(found, option=orjson.OPT_INDENT_2))
 
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -18,7 +18,11 @@
 from stepknot.zones.policy import Zones
 
 LEAST_WEIGHT = 0.1  # of a host that has just started
-EJECT_AFTER, EJECT_FOR, PANIC = 5, 3.0, 0.5  # failures in a row, seconds, share of hosts left under which all count
+EJECT_AFTER, EJECT_FOR, PANIC = (
+    5,
+    3.0,
+    0.5,
+)  # failures in a row, seconds, share of hosts left under which all count
 
 
 class Plain(Zones):
@@ -28,7 +32,9 @@
         super().admit(now, worth, parts, over_share)
         return None
 
-    def narrow(self, now: float, entries: Sequence[ServerEntry], safe: bool, owed: bool = False) -> list[int]:
+    def narrow(
+        self, now: float, entries: Sequence[ServerEntry], safe: bool, owed: bool = False
+    ) -> list[int]:
         self.advance(now)
         return list(range(len(entries)))
 
@@ -36,11 +42,17 @@
 class SlowStart(Plain):
     """A host's weight grows with its age until it is warm."""
 
-    def narrow(self, now: float, entries: Sequence[ServerEntry], safe: bool, owed: bool = False) -> list[int]:
+    def narrow(
+        self, now: float, entries: Sequence[ServerEntry], safe: bool, owed: bool = False
+    ) -> list[int]:
         places = super().narrow(now, entries, safe, owed)
         warm = self.known_of_cold[1]
-        left = [place for place in places if entries[place].up_since <= 0 or self.rng.random() < max(
-            LEAST_WEIGHT, (now - entries[place].up_since) / warm)]
+        left = [
+            place
+            for place in places
+            if entries[place].up_since <= 0
+            or self.rng.random() < max(LEAST_WEIGHT, (now - entries[place].up_since) / warm)
+        ]
         return left or places
 
 
@@ -63,7 +75,9 @@
                 self.times[box] += 1
                 self.row[box], self.until[box] = 0, now + EJECT_FOR * self.times[box]
 
-    def narrow(self, now: float, entries: Sequence[ServerEntry], safe: bool, owed: bool = False) -> list[int]:
+    def narrow(
+        self, now: float, entries: Sequence[ServerEntry], safe: bool, owed: bool = False
+    ) -> list[int]:
         places = super().narrow(now, entries, safe, owed)
         left = [place for place in places if self.until[entries[place].server] <= now]
         ejected = sum(self.until[box] > now for box in self.zone_of)
@@ -73,7 +87,9 @@
 class Random(Plain):
     """Any replica; the module has no choice left."""
 
-    def narrow(self, now: float, entries: Sequence[ServerEntry], safe: bool, owed: bool = False) -> list[int]:
+    def narrow(
+        self, now: float, entries: Sequence[ServerEntry], safe: bool, owed: bool = False
+    ) -> list[int]:
         return [self.rng.randrange(len(entries))] if entries else []
 
 
--- a/bench/broker.py
+++ b/bench/broker.py
@@ -72,9 +72,20 @@
         folder = Path(name)
         port, *ports = free_ports(1 + BOXES)
         (folder / "broker.hcl").write_text(settings(port))
-        rows = [{"address": f"127.0.0.1:{each}", "cell": place % CELLS} for place, each in enumerate(ports)]
+        rows = [
+            {"address": f"127.0.0.1:{each}", "cell": place % CELLS}
+            for place, each in enumerate(ports)
+        ]
         (folder / "boxes.json").write_bytes(orjson.dumps({"boxes": rows}))
-        words = [sys.executable, "-m", "stepknot", "serve", str(folder / "broker.hcl"), "--log-level", "error"]
+        words = [
+            sys.executable,
+            "-m",
+            "stepknot",
+            "serve",
+            str(folder / "broker.hcl"),
+            "--log-level",
+            "error",
+        ]
         if profile is not None:
             words[1:1] = ["-m", "cProfile", "-o", str(profile)]
         if record is not None:
@@ -84,8 +95,10 @@
 
 
 def request(width: int) -> bytes:
-    return (f"POST /p{width}/_search HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\n"
-            f"content-length: {len(BODY)}\r\n\r\n").encode() + BODY
+    return (
+        f"POST /p{width}/_search HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\n"
+        f"content-length: {len(BODY)}\r\n\r\n"
+    ).encode() + BODY
 
 
 def reply_at(sock: socket.socket) -> bytes:
@@ -93,7 +106,7 @@
     while b"\r\n\r\n" not in data:
         data += sock.recv(1 << 18)
     head, _, body = data.partition(b"\r\n\r\n")
-    length = int(head[head.index(b"content-length: ") + 16:].partition(b"\r\n")[0])
+    length = int(head[head.index(b"content-length: ") + 16 :].partition(b"\r\n")[0])
     while len(body) < length:
         body += sock.recv(1 << 18)
     assert head.startswith(b"HTTP/1.1 200"), head
@@ -170,7 +183,10 @@
         path = Path(name) / "broker.hcl"
         path.write_text(settings(0))
         module = Aggregator(load(path).settings, 1)
-    entries = tuple(ServerEntry(f"127.0.0.1:{each}", "a", each % CELLS, ServerState.LIVE) for each in range(BOXES))
+    entries = tuple(
+        ServerEntry(f"127.0.0.1:{each}", "a", each % CELLS, ServerState.LIVE)
+        for each in range(BOXES)
+    )
     now, number, done = 100.0, 0, 0
     module.handle(now, [ListReceived(ListKind.FULL, entries)])
     begun = time.process_time()
@@ -184,16 +200,31 @@
         timers = [timer for timer in timers if timer.at > now]
         actions = module.handle(now, [*events, *(TimerDue(timer.token) for timer in due)])
         timers += [each for each in actions if isinstance(each, SetTimer)]
-        asked = [ProbeEnded(each.server, Outcome.SERVED, 0.0005, {"queue": 0.0, "util": 0.1})
-                 for each in actions if isinstance(each, Probe)]
+        asked = [
+            ProbeEnded(each.server, Outcome.SERVED, 0.0005, {"queue": 0.0, "util": 0.1})
+            for each in actions
+            if isinstance(each, Probe)
+        ]
         if asked:
             actions = module.handle(now, asked)
             timers += [each for each in actions if isinstance(each, SetTimer)]
         sends = [each for each in actions if isinstance(each, Send)]
         assert len(sends) == width
         now += 0.001
-        module.handle(now, [AttemptEnded(each.part_id, 0, each.server, Outcome.SERVED, 0.001,
-                                         load={"queue": 0.0, "util": 0.1}) for each in sends])
+        module.handle(
+            now,
+            [
+                AttemptEnded(
+                    each.part_id,
+                    0,
+                    each.server,
+                    Outcome.SERVED,
+                    0.001,
+                    load={"queue": 0.0, "util": 0.1},
+                )
+                for each in sends
+            ],
+        )
         module.handle(now, [QueryGone(number)])
         timers = timers[-200:]
         done += 1
@@ -206,7 +237,11 @@
     pools: list[list[Link]] = [[] for _ in ports]
 
     def call(place: int, left: list[int], task_done: Any) -> Coroutine:
-        link = pools[place].pop() if pools[place] else (yield from loop.connect("127.0.0.1", ports[place], 1.0))
+        link = (
+            pools[place].pop()
+            if pools[place]
+            else (yield from loop.connect("127.0.0.1", ports[place], 1.0))
+        )
         yield from link.send(data)
         got = yield from link.recv(1 << 18)
         while not got.endswith(b"}"):
@@ -238,16 +273,24 @@
 def bare_rate(width: int, seconds: float) -> float:
     calls = min(width, BOXES)
     (port,), ports = free_ports(1), free_ports(calls)
-    boxes = [subprocess.Popen([sys.executable, str(FOLDER / "canned.py"), str(each), "0"], stdout=subprocess.PIPE)
-             for each in ports]
+    boxes = [
+        subprocess.Popen(
+            [sys.executable, str(FOLDER / "canned.py"), str(each), "0"], stdout=subprocess.PIPE
+        )
+        for each in ports
+    ]
     for each in boxes:
         assert each.stdout is not None
         each.stdout.readline()
-    lines = b"".join(orjson.dumps({"index": "p", "preference": f"_shards:{shard}"}) + b"\n{}\n"
-                     for shard in range(max(width // calls, 1)))
+    lines = b"".join(
+        orjson.dumps({"index": "p", "preference": f"_shards:{shard}"}) + b"\n{}\n"
+        for shard in range(max(width // calls, 1))
+    )
     data = f"POST /_msearch HTTP/1.1\r\ncontent-length: {len(lines)}\r\n\r\n".encode() + lines
-    child = subprocess.Popen([sys.executable, __file__, "bare", str(port), ",".join(map(str, ports)), data.hex()],
-                             stdout=subprocess.PIPE)
+    child = subprocess.Popen(
+        [sys.executable, __file__, "bare", str(port), ",".join(map(str, ports)), data.hex()],
+        stdout=subprocess.PIPE,
+    )
     assert child.stdout is not None
     child.stdout.readline()
     try:
@@ -292,7 +335,7 @@
 
     loop.spawn(arrivals())
     loop.run()
-    return sorted(took[len(took) // 10:])
+    return sorted(took[len(took) // 10 :])
 
 
 def quantile(values: list[float], share: float) -> float:
@@ -301,21 +344,43 @@
 
 def added_latency(width: int, rate: float, seconds: float) -> dict[str, float]:
     """At half load, over what the same number of clients see at a box itself."""
-    lines = b"".join(orjson.dumps({"index": "p", "preference": f"_shards:{shard}"}) + b"\n{}\n"
-                     for shard in range(max(width // BOXES, 1)))
+    lines = b"".join(
+        orjson.dumps({"index": "p", "preference": f"_shards:{shard}"}) + b"\n{}\n"
+        for shard in range(max(width // BOXES, 1))
+    )
     direct = f"POST /_msearch HTTP/1.1\r\ncontent-length: {len(lines)}\r\n\r\n".encode() + lines
     with running(10) as (port, _, ports):
         box = latencies(ports[0], direct, rate, seconds)
         whole = latencies(port, request(width), rate, seconds)
-    return {"rate": rate, "box_p50_ms": 1000 * quantile(box, 0.5), "box_p99_ms": 1000 * quantile(box, 0.99),
-            "p50_added_ms": 1000 * (quantile(whole, 0.5) - quantile(box, 0.5)),
-            "p99_added_ms": 1000 * (quantile(whole, 0.99) - quantile(box, 0.99))}
-
-
-STAGES = {"logic.py": "decide", "records.py": "decide", "interface.py": "decide", "core.py": "carry out",
-          "queries.py": "carry out", "codec.py": "boxes' codec", "pool.py": "send", "loop.py": "loop",
-          "http.py": "parse", "server.py": "parse", "merge.py": "merge", "aggs.py": "merge", "request.py": "parse",
-          "dsl.py": "parse", "app.py": "front", "replies.py": "write", "jsonbody.py": "parse", "random.py": "decide"}
+    return {
+        "rate": rate,
+        "box_p50_ms": 1000 * quantile(box, 0.5),
+        "box_p99_ms": 1000 * quantile(box, 0.99),
+        "p50_added_ms": 1000 * (quantile(whole, 0.5) - quantile(box, 0.5)),
+        "p99_added_ms": 1000 * (quantile(whole, 0.99) - quantile(box, 0.99)),
+    }
+
+
+STAGES = {
+    "logic.py": "decide",
+    "records.py": "decide",
+    "interface.py": "decide",
+    "core.py": "carry out",
+    "queries.py": "carry out",
+    "codec.py": "boxes' codec",
+    "pool.py": "send",
+    "loop.py": "loop",
+    "http.py": "parse",
+    "server.py": "parse",
+    "merge.py": "merge",
+    "aggs.py": "merge",
+    "request.py": "parse",
+    "dsl.py": "parse",
+    "app.py": "front",
+    "replies.py": "write",
+    "jsonbody.py": "parse",
+    "random.py": "decide",
+}
 
 
 def stages(width: int, seconds: float) -> dict[str, float]:
@@ -385,11 +450,20 @@
     search = parse_search({"size": hits, "sort": [{"rating": "desc"}]}, {}, hits)
     answers = []
     for shard in range(shards):
-        rows = [{"_index": "i", "_id": f"{shard}-{place}", "_score": None, "sort": [hits * 10 - place * 9 - shard % 7]}
-                for place in range(hits)]
+        rows = [
+            {
+                "_index": "i",
+                "_id": f"{shard}-{place}",
+                "_score": None,
+                "sort": [hits * 10 - place * 9 - shard % 7],
+            }
+            for place in range(hits)
+        ]
         answers.append({"hits": {"total": {"value": hits, "relation": "eq"}, "hits": rows}})
     begun = time.perf_counter()
-    found = [read_shard(Target("i", shard, shard), search, each) for shard, each in enumerate(answers)]
+    found = [
+        read_shard(Target("i", shard, shard), search, each) for shard, each in enumerate(answers)
+    ]
     page = merge(search, found, False, 1000)
     assert len(page.rows) == hits
     return time.perf_counter() - begun
@@ -402,28 +476,52 @@
 def main(seconds: float, runs: int, out: Path | None) -> None:
     figures: dict[str, Any] = {"rates": {}}
     click.echo("queries a second of one core's CPU, medians of alternating runs")
-    click.echo(f"{'parts':>6} {'broker':>9} {'parts/s':>9} {'module':>9} {'at best':>9} {'bare loop':>10} "
-               f"{'broker/module':>14}")
+    click.echo(
+        f"{'parts':>6} {'broker':>9} {'parts/s':>9} {'module':>9} {'at best':>9} {'bare loop':>10} "
+        f"{'broker/module':>14}"
+    )
     for width in WIDTHS:
-        samples = [(broker_rate(width, seconds), replayed_rate(width, seconds), module_rate(width, seconds / 3),
-                    bare_rate(width, seconds)) for _ in range(runs)]
-        broker, module, best, loop = (statistics.median(each) for each in zip(*samples, strict=True))
-        figures["rates"][width] = {"broker": broker, "module": module, "module_at_best": best, "bare": loop}
-        click.echo(f"{width:>6} {broker:>9.0f} {broker * width:>9.0f} {module:>9.0f} {best:>9.0f} {loop:>10.0f} "
-                   f"{broker / module:>14.2f}")
+        samples = [
+            (
+                broker_rate(width, seconds),
+                replayed_rate(width, seconds),
+                module_rate(width, seconds / 3),
+                bare_rate(width, seconds),
+            )
+            for _ in range(runs)
+        ]
+        broker, module, best, loop = (
+            statistics.median(each) for each in zip(*samples, strict=True)
+        )
+        figures["rates"][width] = {
+            "broker": broker,
+            "module": module,
+            "module_at_best": best,
+            "bare": loop,
+        }
+        click.echo(
+            f"{width:>6} {broker:>9.0f} {broker * width:>9.0f} {module:>9.0f} {best:>9.0f} {loop:>10.0f} "
+            f"{broker / module:>14.2f}"
+        )
     half = figures["rates"][12]["broker"] / 2
     figures["latency"] = added_latency(12, half, seconds * 2)
-    click.echo("added latency at half load, 12 parts, boxes of 10 ms: " + ", ".join(
-        f"{key} {value:.2f}" for key, value in figures["latency"].items()))
+    click.echo(
+        "added latency at half load, 12 parts, boxes of 10 ms: "
+        + ", ".join(f"{key} {value:.2f}" for key, value in figures["latency"].items())
+    )
     figures["stages"] = stages(12, seconds)
-    click.echo("share of time by stage, 12 parts: " + ", ".join(
-        f"{key} {value:.0%}" for key, value in figures["stages"].items()))
+    click.echo(
+        "share of time by stage, 12 parts: "
+        + ", ".join(f"{key} {value:.0%}" for key, value in figures["stages"].items())
+    )
     figures["idle_bytes"] = idle_memory(2000)
     figures["held_bytes"] = held_memory(200)
     figures["merge_ms"] = statistics.median(1000 * merging(30, 1000) for _ in range(5))
-    click.echo(f"memory for each idle client: {figures['idle_bytes'] / 1024:.1f} KB, for each query of 12 parts held: "
-               f"{figures['held_bytes'] / 1024:.1f} KB; "
-               f"merging 30 parts of 1000 hits: {figures['merge_ms']:.1f} ms")
+    click.echo(
+        f"memory for each idle client: {figures['idle_bytes'] / 1024:.1f} KB, for each query of 12 parts held: "
+        f"{figures['held_bytes'] / 1024:.1f} KB; "
+        f"merging 30 parts of 1000 hits: {figures['merge_ms']:.1f} ms"
+    )
     if out:
         out.write_bytes(orjson.dumps(figures, option=orjson.OPT_INDENT_2 | orjson.OPT_NON_STR_KEYS))
 
@@ -432,6 +530,10 @@
     if sys.argv[1:2] == ["record"]:
         record(Path(sys.argv[2]), Path(sys.argv[3]))
     elif sys.argv[1:2] == ["bare"]:
-        bare(int(sys.argv[2]), [int(each) for each in sys.argv[3].split(",")], bytes.fromhex(sys.argv[4]))
+        bare(
+            int(sys.argv[2]),
+            [int(each) for each in sys.argv[3].split(",")],
+            bytes.fromhex(sys.argv[4]),
+        )
     else:
         main()
--- a/bench/canned.py
+++ b/bench/canned.py
@@ -24,23 +24,51 @@
     if made is None:
         asked = orjson.loads(head)
         shard = int(asked["preference"].partition(":")[2])
-        rows = [{"_index": asked["index"], "_id": f"s{shard}-{place}", "_score": 9.0 - place - shard / 100}
-                for place in range(ROWS)]
+        rows = [
+            {
+                "_index": asked["index"],
+                "_id": f"s{shard}-{place}",
+                "_score": 9.0 - place - shard / 100,
+            }
+            for place in range(ROWS)
+        ]
         for row in rows if by_sort else ():
             row["sort"] = [row["_score"], row["_id"]]
-        made = CACHE[head, by_sort] = orjson.dumps({
-            "took": 1, "timed_out": False, "_shards": {"total": 1, "successful": 1, "skipped": 0, "failed": 0},
-            "status": 200, "hits": {"total": {"value": 1000, "relation": "eq"}, "max_score": 9.0, "hits": rows}})
+        made = CACHE[head, by_sort] = orjson.dumps(
+            {
+                "took": 1,
+                "timed_out": False,
+                "_shards": {"total": 1, "successful": 1, "skipped": 0, "failed": 0},
+                "status": 200,
+                "hits": {
+                    "total": {"value": 1000, "relation": "eq"},
+                    "max_score": 9.0,
+                    "hits": rows,
+                },
+            }
+        )
     return made
 
 
 def documents(head: bytes, body: bytes) -> bytes:
     """Of the ids asked for, all of them: they are known for having been asked."""
     index, names = orjson.loads(head)["index"], orjson.loads(body)["query"]["ids"]["values"]
-    return orjson.dumps({
-        "took": 1, "timed_out": False, "_shards": {"total": 1, "successful": 1, "skipped": 0, "failed": 0},
-        "status": 200, "hits": {"total": {"value": len(names), "relation": "eq"}, "max_score": 1.0, "hits": [
-            {"_index": index, "_id": name, "_score": 1.0, "_source": SOURCE} for name in names]}})
+    return orjson.dumps(
+        {
+            "took": 1,
+            "timed_out": False,
+            "_shards": {"total": 1, "successful": 1, "skipped": 0, "failed": 0},
+            "status": 200,
+            "hits": {
+                "total": {"value": len(names), "relation": "eq"},
+                "max_score": 1.0,
+                "hits": [
+                    {"_index": index, "_id": name, "_score": 1.0, "_source": SOURCE}
+                    for name in names
+                ],
+            },
+        }
+    )
 
 
 def converse(loop: Loop, link: Link, delay: float) -> Coroutine:
@@ -64,9 +92,11 @@
                 yield from loop.sleep(delay)
             answers = b",".join(map(response, lines[:-1:2], lines[1::2]))
             body = b'{"took":1,"responses":[' + answers + b"]}" if length else b""
-            yield from link.send(b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n"
-                                 b"endpoint-load-metrics: TEXT cpu_utilization=0.1,named_metrics.queue=0\r\n"
-                                 b"content-length: %d\r\n\r\n" % len(body) + body)
+            yield from link.send(
+                b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n"
+                b"endpoint-load-metrics: TEXT cpu_utilization=0.1,named_metrics.queue=0\r\n"
+                b"content-length: %d\r\n\r\n" % len(body) + body
+            )
     except (OSError, Expired):
         pass
     finally:
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -20,7 +20,11 @@
 
 BEGIN, END = "<!-- table: python bench/capacity.py docs/scale.json -->", "<!-- end of table -->"
 GREATEST = 1000.0  # multiples that are searched
-CORE, MEMORY, RATE = 0.044, 32e6, 3000.0  # of a core, bytes, bytes a second: what control may take at a broker
+CORE, MEMORY, RATE = (
+    0.044,
+    32e6,
+    3000.0,
+)  # of a core, bytes, bytes a second: what control may take at a broker
 AIM = 130.0  # ms
 FORCE = 13.0  # seconds until a change is in force everywhere
 DESCRIPTORS = 20_000  # of a process, on the machine that measured
@@ -119,106 +123,309 @@
 def source(scale: Scale, name: str, x: float) -> str:
     line = scale.line(name)
     beyond = f", x{x / line.high:.2g} beyond" if x > line.high * 1.01 else ""
-    return (f"{name}: {number(line.intercept)} + {number(line.slope)} x, R2 {line.r2:.3f}, "
-            f"{number(line.low)} to {number(line.high)}{beyond}")
+    return (
+        f"{name}: {number(line.intercept)} + {number(line.slope)} x, R2 {line.r2:.3f}, "
+        f"{number(line.low)} to {number(line.high)}{beyond}"
+    )
 
 
 def rows(scale: Scale) -> list[Row]:
     line = scale.line
-    part, probe = line("decide, 58 shards, 6 parts: a part, all"), line(
-        "decide, probing: first query placed, probes and all")
+    part, probe = (
+        line("decide, 58 shards, 6 parts: a part, all"),
+        line("decide, probing: first query placed, probes and all"),
+    )
     asked = line("connections: opened, with a probe answered, CPU")
     io = carried(scale)
     module_memory = line("decide, 2 replicas, 6 parts: memory with the entries")
     index_memory = line("subset: memory beside the list")
     connection = line("connections: memory with the nodes' own")
     sweep = line("connections: idle, a sweep each 3.0 s")
-    record, quiet = line("members: memory of one member's table"), line("members: quiet, median member")
+    record, quiet = (
+        line("members: memory of one member's table"),
+        line("members: quiet, median member"),
+    )
     quiet_cpu = line("members: quiet, CPU of a member")
-    settled, returned = line("members: settled after all started within a second"), line(
-        "members: settled after a zone returned")
+    settled, returned = (
+        line("members: settled after all started within a second"),
+        line("members: settled after a zone returned"),
+    )
     crash = line("members: all learnt of a crash")
     owner = line("owners, 3 voters, 1 jobs: bytes of the member that sends most")
     owner_cpu = line("owners, 3 voters, 1 jobs: CPU of a member, mean")
-    whole, one = line("readers: platform's whole list"), line("readers: one change found in the file's entries")
+    whole, one = (
+        line("readers: platform's whole list"),
+        line("readers: one change found in the file's entries"),
+    )
     change = line("decide, 2 replicas, 6 parts: one change")
     taken, held = line("subset: whole list, longest unit"), 4.0
 
     def query(size: Size, replicas: float, probes: float) -> float:
         """ms of processor time of one query to all shards."""
-        return size.shards * ((at(part, replicas) + io) / 1e3 + probes * (probe.slope + asked.slope))
+        return size.shards * (
+            (at(part, replicas) + io) / 1e3 + probes * (probe.slope + asked.slope)
+        )
 
     return [
-        Row("query path", "a query to all shards, whole list, each replica asked", lambda s: query(
-            s, s.replicas, s.replicas), "ms", AIM, "none but `subset` below", (
-            ("decide, 58 shards, 6 parts: a part, all", FULL.replicas),
-            ("decide, probing: first query placed, probes and all", FULL.nodes),
-            ("connections: opened, with a probe answered, CPU", FULL.nodes))),
-        Row("query path", "the same, nothing asked (`probing = false`)", lambda s: query(s, s.replicas, 0.0), "ms", AIM,
-            "`logic.py`", (("decide, 58 shards, 6 parts: a part, all", FULL.replicas),)),
-        Row("query path", "the same with subsets of 4, each asked", lambda s: query(s, held, held), "ms", AIM,
-            "`subsets`; at 580 parts a tree or several cores: none yet", (
-                ("decide, 58 shards, 6 parts: a part, all", held),)),
-        Row("query path", "memory of module and entries, whole list", lambda s: at(module_memory, s.nodes), "bytes",
-            MEMORY, "`logic.py`", (("decide, 2 replicas, 6 parts: memory with the entries", FULL.nodes),)),
-        Row("query path", "memory of module and subset, with the entries in use", lambda s: at(
-            module_memory, held * s.shards) + at(index_memory, s.nodes), "bytes", 8e6, "`subsets`", (
-            ("subset: memory beside the list", FULL.nodes),
-            ("decide, 2 replicas, 6 parts: memory with the entries", held * FULL.shards))),
-        Row("query path", "connections to nodes, whole list: descriptors", lambda s: s.nodes, "", DESCRIPTORS,
-            "`platform/nodes.py`", ()),
-        Row("query path", "their memory", lambda s: at(connection, s.nodes), "bytes", MEMORY, "`platform/nodes.py`",
-            (("connections: memory with the nodes' own", FULL.nodes),)),
-        Row("query path", "their memory with subsets", lambda s: at(connection, held * s.shards), "bytes", MEMORY,
-            "`subsets`", (("connections: memory with the nodes' own", held * FULL.shards),)),
-        Row("query path", "upkeep of idle connections, whole list", lambda s: at(sweep, s.nodes) / 1e6, "core", CORE,
-            "`platform/nodes.py`", (("connections: idle, a sweep each 3.0 s", FULL.nodes),)),
-        Row("node", "connections from brokers, whole list", lambda s: s.brokers, "", math.inf, "none but `subset`", ()),
-        Row("node", "connections from brokers, subsets of 4", lambda s: s.brokers * min(
-            1.0, max(held, 256 * s.replicas / s.brokers) / s.replicas), "", math.inf, "`subsets`", ()),
-        Row("discovery", "a whole list read at once: the loop is held (platform)", lambda s: at(whole, s.nodes), "ms",
-            AIM, "`platform/discovery.py`", (("readers: platform's whole list", FULL.nodes),)),
-        Row("discovery", "nodes on a list (`MOST_NODES`)", lambda s: s.nodes, "", 10_000,
-            "`platform/discovery.py`", ()),
-        Row("discovery", "one change found in the file's list: the loop is held", lambda s: at(one, s.nodes), "ms", AIM,
-            "`discovery/boxlist.py`", (("readers: one change found in the file's entries", FULL.nodes),)),
-        Row("discovery", "one change taken by the module, whole list", lambda s: at(change, s.nodes), "ms", AIM,
-            "`logic.py`", (("decide, 2 replicas, 6 parts: one change", FULL.nodes),)),
-        Row("discovery", "changes of an ordinary day in the module, whole list", lambda s: at(
-            change, s.nodes) / 1e3 * 3 * RESTARTS * s.nodes / FULL.nodes / DAY, "core", CORE, "`logic.py`", (
-            ("decide, 2 replicas, 6 parts: one change", FULL.nodes),)),
-        Row("discovery", "longest slice of a list taken in with subsets", lambda s: at(taken, s.nodes), "ms", 5.0,
-            "`subsets`", (("subset: whole list, longest unit", FULL.nodes),)),
-        Row("membership", "memory of the records", lambda s: at(record, s.brokers), "bytes", MEMORY, "`peers/table.py`",
-            (("members: memory of one member's table", FULL.brokers),)),
-        Row("membership", "records kept (`most`, a setting)", lambda s: s.brokers, "", 1024, "`peers/table.py`", ()),
-        Row("membership", "sent, quiet", lambda s: at(quiet, s.brokers), "bytes/s", RATE, "`peers/rate.py`",
-            (("members: quiet, median member", FULL.brokers),)),
-        Row("membership", "CPU, quiet", lambda s: at(quiet_cpu, s.brokers) / 1e6, "core", CORE, "`peers/members.py`",
-            (("members: quiet, CPU of a member", FULL.brokers),)),
-        Row("membership", "all learn of a crash", lambda s: at(crash, s.brokers), "s", FORCE, "`peers/gossip.py`",
-            (("members: all learnt of a crash", FULL.brokers),)),
-        Row("membership", "bad hours: settled after all start within a second", lambda s: at(settled, s.brokers), "s",
-            FORCE, "`peers/members.py`; groups: none yet", (
-                ("members: settled after all started within a second", FULL.brokers),)),
-        Row("membership", "bad hours: settled after a zone returned", lambda s: at(returned, s.brokers), "s", FORCE,
-            "`peers/members.py`; groups: none yet", ((
-                "members: settled after a zone returned", FULL.brokers),)),
-        Row("owner", "sent by the owner of one job, lease 2 s", lambda s: at(owner, s.brokers), "bytes/s", RATE,
-            "`ownership/node.py`; a relay: none yet", ((
-                "owners, 3 voters, 1 jobs: bytes of the member that sends most", FULL.brokers),)),
-        Row("owner", "the same, lease 60 s (greatest setting; arithmetic: by 2/60)", lambda s: at(
-            owner, s.brokers) / 30, "bytes/s", RATE, "`ownership/node.py`; a relay: none yet", ((
-                "owners, 3 voters, 1 jobs: bytes of the member that sends most", FULL.brokers),)),
-        Row("owner", "CPU of a member that does not own", lambda s: at(owner_cpu, s.brokers) / 1e6, "core", CORE,
-            "`ownership/node.py`", (("owners, 3 voters, 1 jobs: CPU of a member, mean", FULL.brokers),)),
+        Row(
+            "query path",
+            "a query to all shards, whole list, each replica asked",
+            lambda s: query(s, s.replicas, s.replicas),
+            "ms",
+            AIM,
+            "none but `subset` below",
+            (
+                ("decide, 58 shards, 6 parts: a part, all", FULL.replicas),
+                ("decide, probing: first query placed, probes and all", FULL.nodes),
+                ("connections: opened, with a probe answered, CPU", FULL.nodes),
+            ),
+        ),
+        Row(
+            "query path",
+            "the same, nothing asked (`probing = false`)",
+            lambda s: query(s, s.replicas, 0.0),
+            "ms",
+            AIM,
+            "`logic.py`",
+            (("decide, 58 shards, 6 parts: a part, all", FULL.replicas),),
+        ),
+        Row(
+            "query path",
+            "the same with subsets of 4, each asked",
+            lambda s: query(s, held, held),
+            "ms",
+            AIM,
+            "`subsets`; at 580 parts a tree or several cores: none yet",
+            (("decide, 58 shards, 6 parts: a part, all", held),),
+        ),
+        Row(
+            "query path",
+            "memory of module and entries, whole list",
+            lambda s: at(module_memory, s.nodes),
+            "bytes",
+            MEMORY,
+            "`logic.py`",
+            (("decide, 2 replicas, 6 parts: memory with the entries", FULL.nodes),),
+        ),
+        Row(
+            "query path",
+            "memory of module and subset, with the entries in use",
+            lambda s: at(module_memory, held * s.shards) + at(index_memory, s.nodes),
+            "bytes",
+            8e6,
+            "`subsets`",
+            (
+                ("subset: memory beside the list", FULL.nodes),
+                ("decide, 2 replicas, 6 parts: memory with the entries", held * FULL.shards),
+            ),
+        ),
+        Row(
+            "query path",
+            "connections to nodes, whole list: descriptors",
+            lambda s: s.nodes,
+            "",
+            DESCRIPTORS,
+            "`platform/nodes.py`",
+            (),
+        ),
+        Row(
+            "query path",
+            "their memory",
+            lambda s: at(connection, s.nodes),
+            "bytes",
+            MEMORY,
+            "`platform/nodes.py`",
+            (("connections: memory with the nodes' own", FULL.nodes),),
+        ),
+        Row(
+            "query path",
+            "their memory with subsets",
+            lambda s: at(connection, held * s.shards),
+            "bytes",
+            MEMORY,
+            "`subsets`",
+            (("connections: memory with the nodes' own", held * FULL.shards),),
+        ),
+        Row(
+            "query path",
+            "upkeep of idle connections, whole list",
+            lambda s: at(sweep, s.nodes) / 1e6,
+            "core",
+            CORE,
+            "`platform/nodes.py`",
+            (("connections: idle, a sweep each 3.0 s", FULL.nodes),),
+        ),
+        Row(
+            "node",
+            "connections from brokers, whole list",
+            lambda s: s.brokers,
+            "",
+            math.inf,
+            "none but `subset`",
+            (),
+        ),
+        Row(
+            "node",
+            "connections from brokers, subsets of 4",
+            lambda s: s.brokers * min(1.0, max(held, 256 * s.replicas / s.brokers) / s.replicas),
+            "",
+            math.inf,
+            "`subsets`",
+            (),
+        ),
+        Row(
+            "discovery",
+            "a whole list read at once: the loop is held (platform)",
+            lambda s: at(whole, s.nodes),
+            "ms",
+            AIM,
+            "`platform/discovery.py`",
+            (("readers: platform's whole list", FULL.nodes),),
+        ),
+        Row(
+            "discovery",
+            "nodes on a list (`MOST_NODES`)",
+            lambda s: s.nodes,
+            "",
+            10_000,
+            "`platform/discovery.py`",
+            (),
+        ),
+        Row(
+            "discovery",
+            "one change found in the file's list: the loop is held",
+            lambda s: at(one, s.nodes),
+            "ms",
+            AIM,
+            "`discovery/boxlist.py`",
+            (("readers: one change found in the file's entries", FULL.nodes),),
+        ),
+        Row(
+            "discovery",
+            "one change taken by the module, whole list",
+            lambda s: at(change, s.nodes),
+            "ms",
+            AIM,
+            "`logic.py`",
+            (("decide, 2 replicas, 6 parts: one change", FULL.nodes),),
+        ),
+        Row(
+            "discovery",
+            "changes of an ordinary day in the module, whole list",
+            lambda s: at(change, s.nodes) / 1e3 * 3 * RESTARTS * s.nodes / FULL.nodes / DAY,
+            "core",
+            CORE,
+            "`logic.py`",
+            (("decide, 2 replicas, 6 parts: one change", FULL.nodes),),
+        ),
+        Row(
+            "discovery",
+            "longest slice of a list taken in with subsets",
+            lambda s: at(taken, s.nodes),
+            "ms",
+            5.0,
+            "`subsets`",
+            (("subset: whole list, longest unit", FULL.nodes),),
+        ),
+        Row(
+            "membership",
+            "memory of the records",
+            lambda s: at(record, s.brokers),
+            "bytes",
+            MEMORY,
+            "`peers/table.py`",
+            (("members: memory of one member's table", FULL.brokers),),
+        ),
+        Row(
+            "membership",
+            "records kept (`most`, a setting)",
+            lambda s: s.brokers,
+            "",
+            1024,
+            "`peers/table.py`",
+            (),
+        ),
+        Row(
+            "membership",
+            "sent, quiet",
+            lambda s: at(quiet, s.brokers),
+            "bytes/s",
+            RATE,
+            "`peers/rate.py`",
+            (("members: quiet, median member", FULL.brokers),),
+        ),
+        Row(
+            "membership",
+            "CPU, quiet",
+            lambda s: at(quiet_cpu, s.brokers) / 1e6,
+            "core",
+            CORE,
+            "`peers/members.py`",
+            (("members: quiet, CPU of a member", FULL.brokers),),
+        ),
+        Row(
+            "membership",
+            "all learn of a crash",
+            lambda s: at(crash, s.brokers),
+            "s",
+            FORCE,
+            "`peers/gossip.py`",
+            (("members: all learnt of a crash", FULL.brokers),),
+        ),
+        Row(
+            "membership",
+            "bad hours: settled after all start within a second",
+            lambda s: at(settled, s.brokers),
+            "s",
+            FORCE,
+            "`peers/members.py`; groups: none yet",
+            (("members: settled after all started within a second", FULL.brokers),),
+        ),
+        Row(
+            "membership",
+            "bad hours: settled after a zone returned",
+            lambda s: at(returned, s.brokers),
+            "s",
+            FORCE,
+            "`peers/members.py`; groups: none yet",
+            (("members: settled after a zone returned", FULL.brokers),),
+        ),
+        Row(
+            "owner",
+            "sent by the owner of one job, lease 2 s",
+            lambda s: at(owner, s.brokers),
+            "bytes/s",
+            RATE,
+            "`ownership/node.py`; a relay: none yet",
+            (("owners, 3 voters, 1 jobs: bytes of the member that sends most", FULL.brokers),),
+        ),
+        Row(
+            "owner",
+            "the same, lease 60 s (greatest setting; arithmetic: by 2/60)",
+            lambda s: at(owner, s.brokers) / 30,
+            "bytes/s",
+            RATE,
+            "`ownership/node.py`; a relay: none yet",
+            (("owners, 3 voters, 1 jobs: bytes of the member that sends most", FULL.brokers),),
+        ),
+        Row(
+            "owner",
+            "CPU of a member that does not own",
+            lambda s: at(owner_cpu, s.brokers) / 1e6,
+            "core",
+            CORE,
+            "`ownership/node.py`",
+            (("owners, 3 voters, 1 jobs: CPU of a member, mean", FULL.brokers),),
+        ),
     ]
 
 
 def carried(scale: Scale) -> float:
     """Microseconds of a part in the loop, the codecs and the kernel, at the highest rate that was measured."""
     case = "loop, 260 queries a second"
-    return scale.figure(case, "CPU a part, loop and codecs") + scale.figure(case, "CPU a part, kernel")
+    return scale.figure(case, "CPU a part, loop and codecs") + scale.figure(
+        case, "CPU a part, kernel"
+    )
 
 
 def limit_text(row: Row) -> str:
@@ -240,12 +447,23 @@
 
 
 def table(scale: Scale) -> str:
-    lines = ["| role | what | today | x10 | full | unit | limit | carried by | from | passes its limit at |",
-             "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"]
+    lines = [
+        "| role | what | today | x10 | full | unit | limit | carried by | from | passes its limit at |",
+        "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |",
+    ]
     for row in sorted(rows(scale), key=order):
         values = " | ".join(number(max(row.value(size), 0.0)) for size in (TODAY, TEN, FULL))
         sources = "; ".join(source(scale, *each) for each in row.sources) or "arithmetic"
-        cells = (row.role, row.what, values, row.unit or "-", limit_text(row), row.mechanism, sources, passed_text(row))
+        cells = (
+            row.role,
+            row.what,
+            values,
+            row.unit or "-",
+            limit_text(row),
+            row.mechanism,
+            sources,
+            passed_text(row),
+        )
         lines.append(f"| {' | '.join(cells)} |")
     return "\n".join(lines)
 
@@ -257,22 +475,28 @@
     cores = QUERIES * query / 1e3
     late = 1 - 0.99 ** (1 / FULL.shards)
     root, leaves = 24, 25  # of a tree of two levels: 24 x 25 covers 580
-    return "\n".join([
-        f"- a part: {part:.0f} us in the module with 4 replicas a shard, {io:.0f} us in loop, codecs and kernel; a "
-        f"query of 580 parts {query:.0f} ms of one core, against 130 ms",
-        f"- {QUERIES:.0f} queries a second at each of 6,600 brokers: {QUERIES * FULL.shards:,.0f} parts a second, "
-        f"{cores:.1f} cores a broker, {cores * FULL.brokers:,.0f} in the fleet",
-        f"- a tree of two levels, {root} inner calls of {leaves} parts: the root and one inner broker "
-        f"{(root + leaves) * (part + io) / 1e3:.0f} ms one after the other; all of it "
-        f"{(FULL.shards + root) / FULL.shards:.2f} times the processor time of one level",
-        f"- all 580 in time for 99 in 100 queries: one part in {1 / late:,.0f} may be late; with a copy of each late "
-        f"part on an independent node one in {1 / math.sqrt(late):.0f}",
-    ])
+    return "\n".join(
+        [
+            f"- a part: {part:.0f} us in the module with 4 replicas a shard, {io:.0f} us in loop, codecs and kernel; a "
+            f"query of 580 parts {query:.0f} ms of one core, against 130 ms",
+            f"- {QUERIES:.0f} queries a second at each of 6,600 brokers: {QUERIES * FULL.shards:,.0f} parts a second, "
+            f"{cores:.1f} cores a broker, {cores * FULL.brokers:,.0f} in the fleet",
+            f"- a tree of two levels, {root} inner calls of {leaves} parts: the root and one inner broker "
+            f"{(root + leaves) * (part + io) / 1e3:.0f} ms one after the other; all of it "
+            f"{(FULL.shards + root) / FULL.shards:.2f} times the processor time of one level",
+            f"- all 580 in time for 99 in 100 queries: one part in {1 / late:,.0f} may be late; with a copy of each late "
+            f"part on an independent node one in {1 / math.sqrt(late):.0f}",
+        ]
+    )
 
 
 @click.command(help=__doc__)
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@click.option("--write", type=click.Path(exists=True, dir_okay=False, path_type=Path), help="Put it into this page.")
+@click.option(
+    "--write",
+    type=click.Path(exists=True, dir_okay=False, path_type=Path),
+    help="Put it into this page.",
+)
 def main(file: Path, write: Path | None) -> None:
     scale = msgspec.json.decode(file.read_bytes(), type=Scale)
     text = f"{BEGIN}\n{table(scale)}\n\n{width(scale)}\n{END}"
--- a/bench/fuzz_graphql.py
+++ b/bench/fuzz_graphql.py
@@ -30,22 +30,71 @@
 
 SLOWEST = 1.0  # seconds for a decision
 SEEDS = [
-    {"query": '{reports(first: 3, search: "a", sort: [{by: rating, order: DESC}]) {edges{cursor node{id title}}}}'},
-    {"query": "query Q($f: ReportFilter, $n: Int = 2) {reports(where: $f, first: $n) {totalCount aggregate {count "
-              "t: terms(field: game, first: 2) {buckets {key aggregate {s: stats(field: rating) {max}}}}}}}",
-     "variables": {"f": {"or": [{"game": {"in": ["go"]}}, {"not": {"played": {"gte": "2024-01-01"}}}]}, "n": 4}},
-    {"query": "query($k: [_Any!]!) {_entities(representations: $k) {__typename ...F ... on Club {name reportCount}}} "
-              "fragment F on Report {id home {bestRating}}",
-     "variables": {"k": [{"__typename": "Report", "id": "1"}, {"__typename": "Club", "name": "a", "founded": 5},
-                         {"__typename": "Report", "player": "p", "played": 3}]}},
-    {"query": 'mutation {createReport(document: {title: "x", rating: 3}) {id} updateReport(id: "a", document: '
-              "{moves: 1}, upsert: true) {version}}", "operationName": None},
-    {"query": "{__schema {types {name fields {name args {name}}}} report(id: 5) @include(if: true) {id}}"},
+    {
+        "query": '{reports(first: 3, search: "a", sort: [{by: rating, order: DESC}]) {edges{cursor node{id title}}}}'
+    },
+    {
+        "query": "query Q($f: ReportFilter, $n: Int = 2) {reports(where: $f, first: $n) {totalCount aggregate {count "
+        "t: terms(field: game, first: 2) {buckets {key aggregate {s: stats(field: rating) {max}}}}}}}",
+        "variables": {
+            "f": {"or": [{"game": {"in": ["go"]}}, {"not": {"played": {"gte": "2024-01-01"}}}]},
+            "n": 4,
+        },
+    },
+    {
+        "query": "query($k: [_Any!]!) {_entities(representations: $k) {__typename ...F ... on Club {name reportCount}}} "
+        "fragment F on Report {id home {bestRating}}",
+        "variables": {
+            "k": [
+                {"__typename": "Report", "id": "1"},
+                {"__typename": "Club", "name": "a", "founded": 5},
+                {"__typename": "Report", "player": "p", "played": 3},
+            ]
+        },
+    },
+    {
+        "query": 'mutation {createReport(document: {title: "x", rating: 3}) {id} updateReport(id: "a", document: '
+        "{moves: 1}, upsert: true) {version}}",
+        "operationName": None,
+    },
+    {
+        "query": "{__schema {types {name fields {name args {name}}}} report(id: 5) @include(if: true) {id}}"
+    },
+]
+PIECES = [
+    b"{",
+    b"}",
+    b"(",
+    b")",
+    b"[",
+    b"]",
+    b":",
+    b"$",
+    b"@",
+    b"...",
+    b"!",
+    b"null",
+    b"true",
+    b"-1",
+    b"1e999",
+    b'\\"',
+    b"\\u0000",
+    b"\xff",
+    b"first",
+    b"reports",
+    b"_entities",
+    b"on",
+    b"fragment",
+    b"#",
+    b"\\n",
+    b"99999999999999999999",
+    b'\\"\\"\\"',
+    b",",
+    b"{" * 50,
+    b"a " * 200,
+    b"__typename",
+    b'{"__typename":"Report"}',
 ]
-PIECES = [b"{", b"}", b"(", b")", b"[", b"]", b":", b"$", b"@", b"...", b"!", b"null", b"true", b"-1", b"1e999", b'\\"',
-          b"\\u0000", b"\xff", b"first", b"reports", b"_entities", b"on", b"fragment", b"#", b"\\n",
-          b"99999999999999999999", b'\\"\\"\\"', b",", b"{" * 50, b"a " * 200, b"__typename",
-          b'{"__typename":"Report"}']
 
 
 class Front:
@@ -77,14 +126,25 @@
             return "no query"
         prepared = self.graph.documents.make(given["query"])
         chosen = prepared.operation(name)
-        values = get_variable_values(self.graph.schema, chosen.variable_definitions or (), variables or {}, 20)
+        values = get_variable_values(
+            self.graph.schema, chosen.variable_definitions or (), variables or {}, 20
+        )
         if isinstance(values, list):
             return "variables"
         planner = Planner(
-            self.graph.settings, self.graph.schema, chosen, prepared.fragments, values, self.config.indices,
+            self.graph.settings,
+            self.graph.schema,
+            chosen,
+            prepared.fragments,
+            values,
+            self.config.indices,
             lambda indices, routing: [Target("reports", shard, shard) for shard in range(12)],
-            lambda index, routing: Target("reports", len(routing) % 12, 0), lambda name: 2, self.config.window,
-            lambda: "x", prepared.selections)
+            lambda index, routing: Target("reports", len(routing) % 12, 0),
+            lambda name: 2,
+            self.config.window,
+            lambda: "x",
+            prepared.selections,
+        )
         plan = planner.plan()
         limits = self.graph.settings.limits
         assert plan.parts <= limits.parts and plan.rows <= limits.rows
@@ -99,17 +159,19 @@
             case 0:
                 data[at:at] = rng.choice(PIECES)
             case 1:
-                del data[at:at + rng.randrange(1, 12)]
+                del data[at : at + rng.randrange(1, 12)]
             case 2:
-                data[at:at] = data[rng.randrange(len(data) + 1):][:rng.randrange(1, 60)]
+                data[at:at] = data[rng.randrange(len(data) + 1) :][: rng.randrange(1, 60)]
             case _:
-                data[at:at + 1] = bytes([rng.randrange(256)])
+                data[at : at + 1] = bytes([rng.randrange(256)])
         data = data or bytearray(b"{")
     return bytes(data)
 
 
 @click.command()
-@click.option("--config", type=click.Path(exists=True, path_type=Path), default=Path("deploy/broker.hcl"))
+@click.option(
+    "--config", type=click.Path(exists=True, path_type=Path), default=Path("deploy/broker.hcl")
+)
 @click.option("--seconds", type=int, default=20, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--atheris", "led", is_flag=True, help="Let coverage lead.")
@@ -126,8 +188,10 @@
             click.echo(f"finding: {data!r}", err=True)
             raise
     total = sum(front.came.values())
-    click.echo(f"{total} bodies, slowest {1000 * front.slowest:.1f} ms: "
-               + ", ".join(f"{name} {count}" for name, count in front.came.most_common()))
+    click.echo(
+        f"{total} bodies, slowest {1000 * front.slowest:.1f} ms: "
+        + ", ".join(f"{name} {count}" for name, count in front.came.most_common())
+    )
 
 
 def fuzz(front: Front, seconds: int) -> Any:
@@ -139,11 +203,32 @@
     with tempfile.TemporaryDirectory() as name:
         for place, each in enumerate(SEEDS):
             (Path(name) / str(place)).write_bytes(orjson.dumps(each))
-        for function in (scan, check_text, check_rows, Measure.selections, Measure.fragment, Planner.plan, Planner.root,
-                         Planner.page, Planner.wanted, Planner.where, Planner.field_filter, Planner.entities,
-                         Planner.representation, Planner.counts, Planner.change, read_cursor, Front.decide):
-            atheris.instrument_func(function)  # the front's own: instrumenting the libraries as well takes minutes
-        atheris.Setup([sys.argv[0], name, f"-max_total_time={seconds}", "-max_len=4096", "-timeout=5"], front.take)
+        for function in (
+            scan,
+            check_text,
+            check_rows,
+            Measure.selections,
+            Measure.fragment,
+            Planner.plan,
+            Planner.root,
+            Planner.page,
+            Planner.wanted,
+            Planner.where,
+            Planner.field_filter,
+            Planner.entities,
+            Planner.representation,
+            Planner.counts,
+            Planner.change,
+            read_cursor,
+            Front.decide,
+        ):
+            atheris.instrument_func(
+                function
+            )  # the front's own: instrumenting the libraries as well takes minutes
+        atheris.Setup(
+            [sys.argv[0], name, f"-max_total_time={seconds}", "-max_len=4096", "-timeout=5"],
+            front.take,
+        )
         atheris.Fuzz()
 
 
--- a/bench/harness.py
+++ b/bench/harness.py
@@ -14,11 +14,20 @@
 
 
 @contextmanager
-def processes(words: list[str], ports: list[int], delay_ms: float = 0.0,
-              preexec: Callable[[], None] | None = None) -> Iterator[int]:
+def processes(
+    words: list[str],
+    ports: list[int],
+    delay_ms: float = 0.0,
+    preexec: Callable[[], None] | None = None,
+) -> Iterator[int]:
     """Canned boxes on these ports, then the broker that `words` run; its process id, once it is ready."""
-    boxes = [subprocess.Popen([sys.executable, str(FOLDER / "canned.py"), str(each), str(delay_ms)],
-                              stdout=subprocess.PIPE) for each in ports]
+    boxes = [
+        subprocess.Popen(
+            [sys.executable, str(FOLDER / "canned.py"), str(each), str(delay_ms)],
+            stdout=subprocess.PIPE,
+        )
+        for each in ports
+    ]
     for each in boxes:
         assert each.stdout is not None
         each.stdout.readline()
@@ -43,5 +52,9 @@
 
 def memory_of(pid: int) -> int:
     """Resident bytes."""
-    line = next(each for each in Path(f"/proc/{pid}/status").read_text().splitlines() if each.startswith("VmRSS"))
+    line = next(
+        each
+        for each in Path(f"/proc/{pid}/status").read_text().splitlines()
+        if each.startswith("VmRSS")
+    )
     return int(line.split()[1]) * 1024
--- a/bench/ownership.py
+++ b/bench/ownership.py
@@ -65,8 +65,11 @@
     fleet = Fleet(VOTERS, CLIENTS, 1, seed, lease=LEASE, period=0.5)
     acts = Acts(fenced=True)
     fleet.run(10.0)
-    name = next(each for each, process in fleet.processes.items()
-                if process.node.jobs["job0"].owner.acting(fleet.clock(process)))
+    name = next(
+        each
+        for each, process in fleet.processes.items()
+        if process.node.jobs["job0"].owner.acting(fleet.clock(process))
+    )
     acts.last, begun = fleet.now, fleet.now
     epochs = {name: fleet.processes[name].node.jobs["job0"].owner.epoch}
     paused = begun + 4 * LEASE
@@ -75,7 +78,9 @@
     elif fault == "stop":
         fleet.pause(name, 4 * LEASE)
     elif fault == "cut":
-        fleet.faults.cut = lambda source, target: source == name  # it hears all and is heard by nobody
+        fleet.faults.cut = lambda source, target: (
+            source == name
+        )  # it hears all and is heard by nobody
     else:
         process = fleet.processes[name]
         process.node.hand_over(fleet.clock(process), "job0", "")
@@ -86,7 +91,11 @@
             acts.act(fleet.now, name, epochs[name])  # it had checked before it was stopped
         for each, process in fleet.processes.items():
             owner = process.node.jobs["job0"].owner
-            if process.running and fleet.now >= process.paused_until and owner.acting(fleet.clock(process)):
+            if (
+                process.running
+                and fleet.now >= process.paused_until
+                and owner.acting(fleet.clock(process))
+            ):
                 epochs[each] = owner.epoch
                 acts.act(fleet.now, each, owner.epoch)
     return Outcome("stepknot", fault, acts.gap, acts.double)
@@ -119,7 +128,11 @@
     chance = random.Random(seed)
     acts, begun, holder, touched = Acts(fenced=False), 10.0, "b0", 10.0
     acts.last = begun
-    now, awake_at, looks = begun, begun + 4 * LEASE, {f"b{n}": chance.uniform(0, LEASE / 4) for n in range(1, 50)}
+    now, awake_at, looks = (
+        begun,
+        begun + 4 * LEASE,
+        {f"b{n}": chance.uniform(0, LEASE / 4) for n in range(1, 50)},
+    )
     believes = {"b0"}
     while now < begun + 6 * LEASE:
         now += ACT
@@ -165,7 +178,11 @@
     return Outcome("lowest name", fault, acts.gap, acts.double)
 
 
-WAYS: dict[str, Callable[[str, int], Outcome]] = {"stepknot": play, "lock file": lock_file, "lowest name": lowest_name}
+WAYS: dict[str, Callable[[str, int], Outcome]] = {
+    "stepknot": play,
+    "lock file": lock_file,
+    "lowest name": lowest_name,
+}
 
 
 def percentile(values: list[float], share: float) -> float:
@@ -181,18 +198,27 @@
 def main(seeds: int, jobs: int) -> None:
     """Time without an owner and acts by two at once, by fault of the owner."""
     with ProcessPoolExecutor(jobs) as pool:
-        futures = {(way, fault): [pool.submit(play, fault, seed) for seed in range(1, seeds + 1)]
-                   for way, play in WAYS.items() for fault in FAULTS}
-        click.echo(f"{'':<12} {'fault':<10} {'nobody acts, s: p50':>20} {'p99':>7} {'acts by two':>12}")
+        futures = {
+            (way, fault): [pool.submit(play, fault, seed) for seed in range(1, seeds + 1)]
+            for way, play in WAYS.items()
+            for fault in FAULTS
+        }
+        click.echo(
+            f"{'':<12} {'fault':<10} {'nobody acts, s: p50':>20} {'p99':>7} {'acts by two':>12}"
+        )
         for (way, fault), each in futures.items():
             found = [future.result() for future in each]
             gaps = [one.gap for one in found]
-            click.echo(f"{way:<12} {fault:<10} {percentile(gaps, 50):>20.3f} {percentile(gaps, 99):>7.3f} "
-                       f"{sum(one.double for one in found):>12}")
+            click.echo(
+                f"{way:<12} {fault:<10} {percentile(gaps, 50):>20.3f} {percentile(gaps, 99):>7.3f} "
+                f"{sum(one.double for one in found):>12}"
+            )
         for count, every in ((1, 0.5), (50, 5.0)):
             datagrams, saves = quiet(count, every)
-            click.echo(f"quiet, {count} jobs, a record each {every:g} s: {datagrams:.0f} datagrams and {saves:.0f} "
-                       f"saves a second by all {VOTERS + CLIENTS}")
+            click.echo(
+                f"quiet, {count} jobs, a record each {every:g} s: {datagrams:.0f} datagrams and {saves:.0f} "
+                f"saves a second by all {VOTERS + CLIENTS}"
+            )
 
 
 if __name__ == "__main__":
--- a/bench/ownership_search.py
+++ b/bench/ownership_search.py
@@ -28,7 +28,9 @@
 PIECE = 100  # seeds that one process takes at a time
 
 
-def day(seed: int, voters: int, clients: int, jobs: int, astray: float) -> tuple[int, str, float, int]:
+def day(
+    seed: int, voters: int, clients: int, jobs: int, astray: float
+) -> tuple[int, str, float, int]:
     try:
         fleet = random_day(seed, voters, clients, jobs, astray=astray)
     except Breach as breach:
@@ -38,13 +40,19 @@
 
 def searched(way: str, scope: Scope, first: int, count: int) -> Result:
     seeds = range(first, first + count)
-    return walk(scope, None, seeds, steps=150) if way == "walks" else phases(scope, None, seeds, count=16)
+    return (
+        walk(scope, None, seeds, steps=150)
+        if way == "walks"
+        else phases(scope, None, seeds, count=16)
+    )
 
 
 def pieces(pool: Executor, way: str, scope: Scope, first: int, seeds: int) -> Iterator[Result]:
     """In order, whichever process is done first."""
-    futures = [pool.submit(searched, way, scope, begin, min(PIECE, first + seeds - begin))
-               for begin in range(first, first + seeds, PIECE)]
+    futures = [
+        pool.submit(searched, way, scope, begin, min(PIECE, first + seeds - begin))
+        for begin in range(first, first + seeds, PIECE)
+    ]
     for future in futures:
         yield future.result()
 
@@ -55,8 +63,10 @@
     for result in results:
         steps += result.states
         found = found or (result if result.breach else None)
-    click.echo(f"{name}: {steps} in {time.monotonic() - since:.0f} s, "
-               f"{found.breach if found is not None else 'no breach'}")
+    click.echo(
+        f"{name}: {steps} in {time.monotonic() - since:.0f} s, "
+        f"{found.breach if found is not None else 'no breach'}"
+    )
     if found is not None:
         click.echo(story(found.trail))
     return found is not None
@@ -64,28 +74,48 @@
 
 @click.command()
 @click.argument("what", type=click.Choice(["days", "walks", "phases", "explore"]))
-@click.option("--seeds", default=200, show_default=True, help="For explore: worlds that are seen at the most.")
+@click.option(
+    "--seeds", default=200, show_default=True, help="For explore: worlds that are seen at the most."
+)
 @click.option("--first", default=1, show_default=True)
 @click.option("--voters", default=5, show_default=True)
 @click.option("--clients", default=7, show_default=True)
 @click.option("--jobs", "kinds", default=3, show_default=True, help="Jobs of the fleet.")
-@click.option("--astray", default=0.0, show_default=True, help="Clocks' rates differ by so much more than is said.")
+@click.option(
+    "--astray",
+    default=0.0,
+    show_default=True,
+    help="Clocks' rates differ by so much more than is said.",
+)
 @click.option("--processes", default=os.cpu_count() or 1, show_default=True)
-def main(what: str, seeds: int, first: int, voters: int, clients: int, kinds: int, astray: float,
-         processes: int) -> None:
+def main(
+    what: str,
+    seeds: int,
+    first: int,
+    voters: int,
+    clients: int,
+    kinds: int,
+    astray: float,
+    processes: int,
+) -> None:
     """Look for breaches of ownership's invariants by seed."""
     begun, bad = time.monotonic(), False
     with ProcessPoolExecutor(processes) as pool:
         if what == "days":
-            plays = [pool.submit(day, seed, voters, clients, kinds, astray) for seed in range(first, first + seeds)]
+            plays = [
+                pool.submit(day, seed, voters, clients, kinds, astray)
+                for seed in range(first, first + seeds)
+            ]
             rows = [each.result() for each in plays]
             for seed, breach, _, _ in rows:
                 if breach:
                     bad = True
                     click.echo(f"seed {seed}: {breach}")
-            click.echo(f"{seeds} days in {time.monotonic() - begun:.0f} s, {sum(bool(row[1]) for row in rows)} with a "
-                       f"breach; {sum(row[3] for row in rows)} records counted; longest without an owner "
-                       f"{max(row[2] for row in rows):.1f} s (all may be dead)")
+            click.echo(
+                f"{seeds} days in {time.monotonic() - begun:.0f} s, {sum(bool(row[1]) for row in rows)} with a "
+                f"breach; {sum(row[3] for row in rows)} records counted; longest without an owner "
+                f"{max(row[2] for row in rows):.1f} s (all may be dead)"
+            )
         else:
             jobs: dict[str, Callable[[], Iterator[Result] | list[Result]]] = {}
             for name in SCOPES:
--- a/bench/parsers.py
+++ b/bench/parsers.py
@@ -9,9 +9,11 @@
 from stepknot.net.http import HttpLimits, ServerParser
 
 BODY = b'{"query": {"match": {"title": "gambit"}}, "size": 10}'
-REQUEST = (b"POST /reports/_search HTTP/1.1\r\nhost: localhost:9200\r\nuser-agent: opensearch-py/3.2.0\r\n"
-           b"content-type: application/json\r\naccept-encoding: gzip, deflate\r\nx-opaque-id: q1\r\n"
-           b"content-length: %d\r\n\r\n" % len(BODY)) + BODY
+REQUEST = (
+    b"POST /reports/_search HTTP/1.1\r\nhost: localhost:9200\r\nuser-agent: opensearch-py/3.2.0\r\n"
+    b"content-type: application/json\r\naccept-encoding: gzip, deflate\r\nx-opaque-id: q1\r\n"
+    b"content-length: %d\r\n\r\n" % len(BODY)
+) + BODY
 
 
 def by_httptools(count: int) -> None:
@@ -41,7 +43,9 @@
             parse(4000)
             rates[name].append(4000 / (time.process_time() - begun))
     one, two = (sorted(each)[2] for each in rates.values())
-    print(f"httptools {one:.0f} requests a second of CPU, h11 {two:.0f}: {one / two:.1f} times (medians of 5)")
+    print(
+        f"httptools {one:.0f} requests a second of CPU, h11 {two:.0f}: {one / two:.1f} times (medians of 5)"
+    )
 
 
 if __name__ == "__main__":
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -42,8 +42,13 @@
 
 def sound_deaths(model: Model, since: float, sound: Callable[[str], bool]) -> int:
     """Episodes: one for each process and ten seconds, however many members believe it."""
-    return len({(change.name, int(when / 10)) for when, _, change in model.log
-                if change.after is State.DEAD and when >= since and sound(change.name)})
+    return len(
+        {
+            (change.name, int(when / 10))
+            for when, _, change in model.log
+            if change.after is State.DEAD and when >= since and sound(change.name)
+        }
+    )
 
 
 def loss(model: Model, seconds: float) -> None:
@@ -56,8 +61,10 @@
     names, begun = list(model.processes)[::5], model.now
     for begin in range(0, int(seconds) - 10, 10):
         for name in names:
-            model.at(begun + begin + model.random.uniform(0, 5), lambda name=name: model.pause(
-                name, model.random.uniform(0, 5)))
+            model.at(
+                begun + begin + model.random.uniform(0, 5),
+                lambda name=name: model.pause(name, model.random.uniform(0, 5)),
+            )
     model.run(begun + seconds)
 
 
@@ -65,13 +72,23 @@
     """Five members that fewer than half of the others do not hear."""
     names = list(model.processes)
     victims = names[:5]
-    cuts = {(victim, other) for victim in victims
-            for other in model.random.sample([each for each in names if each != victim], (len(names) - 1) * 45 // 100)}
+    cuts = {
+        (victim, other)
+        for victim in victims
+        for other in model.random.sample(
+            [each for each in names if each != victim], (len(names) - 1) * 45 // 100
+        )
+    }
     model.network.cut = lambda source, target: (source, target) in cuts
     model.run(model.now + seconds)
 
 
-OTHERS = ("crash", "split", "start", "restart")  # all views right: after a split of a minute, all started, 70% died
+OTHERS = (
+    "crash",
+    "split",
+    "start",
+    "restart",
+)  # all views right: after a split of a minute, all started, 70% died
 TROUBLES = {"loss 30%": loss, "pauses to 5 s": pauses, "one-sided": one_sided}
 
 
@@ -110,7 +127,7 @@
         result.missed = size - 1 - len(first)
         result.false = sound_deaths(model, at, lambda name: name != "b1")
     elif trouble == "restart":
-        names = list(model.processes)[:size * 7 // 10]
+        names = list(model.processes)[: size * 7 // 10]
         for name in names:
             model.kill(name)
         for name in names:
@@ -144,14 +161,19 @@
         text += f"{sum(each.false for each in results) / hours:>10.3f} false deaths a member-hour"
     elif first.trouble == "crash":
         found = [each for one in results for each in one.detections]
-        text += (f"p50 {percentile(found, 50):.2f} s  p99 {percentile(found, 99):.2f} s  not told "
-                 f"{sum(each.missed for each in results)}  false {sum(each.false for each in results)}"
-                 if found else "not found")
+        text += (
+            f"p50 {percentile(found, 50):.2f} s  p99 {percentile(found, 99):.2f} s  not told "
+            f"{sum(each.missed for each in results)}  false {sum(each.false for each in results)}"
+            if found
+            else "not found"
+        )
     else:
         healed = [each.healed for each in results if each.healed is not None]
         text += f"right {len(healed)} of {len(results)}, longest {max(healed, default=float('nan')):.2f} s"
-    return (f"{text}; {max(each.rate for each in results):.0f} B/s; "
-            f"{1e6 * sum(each.cpu for each in results) / len(results):.0f} us a period")
+    return (
+        f"{text}; {max(each.rate for each in results):.0f} B/s; "
+        f"{1e6 * sum(each.cpu for each in results) / len(results):.0f} us a period"
+    )
 
 
 def draw(groups: list[list[Result]], file: Path) -> None:
@@ -164,13 +186,26 @@
     for name in MAKERS:
         rows = [each for each in groups if each[0].maker == name]
         troubles = [each for each in rows if each[0].trouble in TROUBLES]
-        left.plot([f"{each[0].trouble}\n{each[0].size}" for each in troubles],
-                  [sum(one.false for one in each) / (sum(one.seconds * one.size for one in each) / 3600)
-                   for each in troubles], "o-", label=name)
+        left.plot(
+            [f"{each[0].trouble}\n{each[0].size}" for each in troubles],
+            [
+                sum(one.false for one in each)
+                / (sum(one.seconds * one.size for one in each) / 3600)
+                for each in troubles
+            ],
+            "o-",
+            label=name,
+        )
         crashes = [each for each in rows if each[0].trouble == "crash"]
-        right.plot([each[0].size for each in crashes],
-                   [percentile([one for each in group for one in each.detections] or [60.0], 99) for group in crashes],
-                   "o-", label=name)
+        right.plot(
+            [each[0].size for each in crashes],
+            [
+                percentile([one for each in group for one in each.detections] or [60.0], 99)
+                for group in crashes
+            ],
+            "o-",
+            label=name,
+        )
     left.set_yscale("symlog", linthresh=0.01)
     left.set_ylabel("false deaths a member-hour")
     right.set_xscale("log")
@@ -186,19 +221,40 @@
 @click.option("--size", "sizes", type=int, multiple=True, default=(10, 50), show_default=True)
 @click.option("--seeds", default=4, show_default=True, help="Runs of each kind.")
 @click.option("--seconds", default=60.0, show_default=True, help="Simulated, under a trouble.")
-@click.option("--only", "makers", multiple=True, type=click.Choice(list(MAKERS)), default=tuple(MAKERS))
-@click.option("--trouble", "troubles", multiple=True, type=click.Choice([*TROUBLES, *OTHERS]),
-              default=(*TROUBLES, *OTHERS))
+@click.option(
+    "--only", "makers", multiple=True, type=click.Choice(list(MAKERS)), default=tuple(MAKERS)
+)
+@click.option(
+    "--trouble",
+    "troubles",
+    multiple=True,
+    type=click.Choice([*TROUBLES, *OTHERS]),
+    default=(*TROUBLES, *OTHERS),
+)
 @click.option("--jobs", default=os.cpu_count() or 1, show_default=True)
-@click.option("--plot", type=click.Path(dir_okay=False, path_type=Path), help="Draw it into this PNG file.")
-def main(sizes: tuple[int, ...], seeds: int, seconds: float, makers: tuple[str, ...], troubles: tuple[str, ...],
-         jobs: int, plot: Path | None) -> None:
+@click.option(
+    "--plot", type=click.Path(dir_okay=False, path_type=Path), help="Draw it into this PNG file."
+)
+def main(
+    sizes: tuple[int, ...],
+    seeds: int,
+    seconds: float,
+    makers: tuple[str, ...],
+    troubles: tuple[str, ...],
+    jobs: int,
+    plot: Path | None,
+) -> None:
     """Measure membership and its baselines in the same model."""
     kinds = [(maker, trouble, size) for size in sizes for trouble in troubles for maker in makers]
     groups: list[list[Result]] = []
     with ProcessPoolExecutor(jobs) as pool:
-        out = [[pool.submit(play, *kind, seed, 30.0 if kind[1] == "crash" else seconds) for seed in range(1, seeds + 1)]
-               for kind in kinds]
+        out = [
+            [
+                pool.submit(play, *kind, seed, 30.0 if kind[1] == "crash" else seconds)
+                for seed in range(1, seeds + 1)
+            ]
+            for kind in kinds
+        ]
         click.echo(f"{'':<11} {'trouble':<14} {'size':>5} {'runs':>5}")
         for futures in out:
             groups.append([each.result() for each in futures])
--- a/bench/peers_search.py
+++ b/bench/peers_search.py
@@ -27,10 +27,14 @@
         day = Day(replay, most)
         found = day.play()
         for when, at, change in day.model.log:
-            click.echo(f"{when:8.3f}  {at:<5} {change.name:<5} "
-                       f"{change.after.name.lower() if change.after is not None else 'forgotten':<9} {change.why}")
-        click.echo(f"seed {replay}: {found.size} members, {', '.join(found.kinds)}: {found.wrong or 'all held'}; "
-                   f"trace {found.trace}")
+            click.echo(
+                f"{when:8.3f}  {at:<5} {change.name:<5} "
+                f"{change.after.name.lower() if change.after is not None else 'forgotten':<9} {change.why}"
+            )
+        click.echo(
+            f"seed {replay}: {found.size} members, {', '.join(found.kinds)}: {found.wrong or 'all held'}; "
+            f"trace {found.trace}"
+        )
         sys.exit(1 if found.wrong else 0)
     begun, bad, longest = time.monotonic(), 0, 0.0
     with ProcessPoolExecutor(jobs) as pool:
@@ -38,9 +42,13 @@
             longest = max(longest, found.seconds)
             if found.wrong:
                 bad += 1
-                click.echo(f"seed {found.seed}: {found.size} members, {', '.join(found.kinds)}: {found.wrong}")
-    click.echo(f"{seeds - bad} of {seeds} days held; views were one within {longest:.1f} s; "
-               f"{time.monotonic() - begun:.0f} s")
+                click.echo(
+                    f"seed {found.seed}: {found.size} members, {', '.join(found.kinds)}: {found.wrong}"
+                )
+    click.echo(
+        f"{seeds - bad} of {seeds} days held; views were one within {longest:.1f} s; "
+        f"{time.monotonic() - begun:.0f} s"
+    )
     sys.exit(1 if bad else 0)
 
 
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -45,7 +45,9 @@
 
 
 def spread_text(spread: Spread) -> str:
-    return f"{number(spread.median)} ({number(spread.low)} .. {number(spread.high)}, {spread.repeats})"
+    return (
+        f"{number(spread.median)} ({number(spread.low)} .. {number(spread.high)}, {spread.repeats})"
+    )
 
 
 def series_text(series: Series) -> str:
@@ -53,10 +55,12 @@
     text = f"{series.name}, {series.unit}: {spread_text(last.spread)} at {number(last.x)} {series.x_name}"
     if fit is None:
         return text
-    return (f"{text}; {number(fit.intercept)} + {number(fit.slope)} x ({number(fit.slopes.low)} .. "
-            f"{number(fit.slopes.high)}), R2 {fit.r2:.3f}, off by {fit.misfit:.0%}, power "
-            f"{'-' if fit.power is None else format(fit.power, '.2f')}, from {number(fit.low)} to "
-            f"{number(fit.high)}; x{series.factor:.3g} to {number(series.target)}: {number(fit.at(series.target))}")
+    return (
+        f"{text}; {number(fit.intercept)} + {number(fit.slope)} x ({number(fit.slopes.low)} .. "
+        f"{number(fit.slopes.high)}), R2 {fit.r2:.3f}, off by {fit.misfit:.0%}, power "
+        f"{'-' if fit.power is None else format(fit.power, '.2f')}, from {number(fit.low)} to "
+        f"{number(fit.high)}; x{series.factor:.3g} to {number(series.target)}: {number(fit.at(series.target))}"
+    )
 
 
 def text_of(finding: Finding) -> str:
@@ -71,29 +75,54 @@
 
 def series_json(series: Series) -> dict[str, Any]:
     fit = series.fit
-    return {"name": series.name, "x": series.x_name, "unit": series.unit,
-            "points": [{"x": point.x, **asdict(point.spread)} for point in series.points],
-            "fit": asdict(fit) if fit is not None else None,
-            "target": {"x": series.target, "factor": series.factor,
-                       "fitted": fit.at(series.target) if fit is not None else None}}
+    return {
+        "name": series.name,
+        "x": series.x_name,
+        "unit": series.unit,
+        "points": [{"x": point.x, **asdict(point.spread)} for point in series.points],
+        "fit": asdict(fit) if fit is not None else None,
+        "target": {
+            "x": series.target,
+            "factor": series.factor,
+            "fitted": fit.at(series.target) if fit is not None else None,
+        },
+    }
 
 
 def figure_json(figure: Figure) -> dict[str, Any]:
     return {"case": figure.case, "name": figure.name, "unit": figure.unit, **asdict(figure.spread)}
 
 
-def report_json(effort: Effort, findings: list[Finding], took: dict[str, float], load: float) -> bytes:
+def report_json(
+    effort: Effort, findings: list[Finding], took: dict[str, float], load: float
+) -> bytes:
     """`load`: the machine's load average when the run began: about 0 where it did nothing else."""
-    return orjson.dumps({
-        "asked": {"brokers": BROKERS, "nodes": NODES, "shards": SHARDS, "replicas": REPLICAS,
-                  "queries_per_second": QUERIES},
-        "run": {"repeats": effort.repeats, "quick": effort.quick, "python": platform.python_version(),
-                "machine": platform.machine(), "load_before": load,
-                "seconds": {name: round(each, 1) for name, each in took.items()}},
-        "notes": [each.text for each in findings if isinstance(each, Note)],
-        "series": [series_json(each) for each in findings if isinstance(each, Series)],
-        "figures": [figure_json(each) for each in findings if isinstance(each, Figure)],
-    }, option=orjson.OPT_INDENT_2) + b"\n"
+    return (
+        orjson.dumps(
+            {
+                "asked": {
+                    "brokers": BROKERS,
+                    "nodes": NODES,
+                    "shards": SHARDS,
+                    "replicas": REPLICAS,
+                    "queries_per_second": QUERIES,
+                },
+                "run": {
+                    "repeats": effort.repeats,
+                    "quick": effort.quick,
+                    "python": platform.python_version(),
+                    "machine": platform.machine(),
+                    "load_before": load,
+                    "seconds": {name: round(each, 1) for name, each in took.items()},
+                },
+                "notes": [each.text for each in findings if isinstance(each, Note)],
+                "series": [series_json(each) for each in findings if isinstance(each, Series)],
+                "figures": [figure_json(each) for each in findings if isinstance(each, Figure)],
+            },
+            option=orjson.OPT_INDENT_2,
+        )
+        + b"\n"
+    )
 
 
 def draw(findings: list[Finding], file: Path) -> None:
@@ -106,10 +135,12 @@
     panels: dict[tuple[str, str, str], list[Series]] = {}
     for each in findings:
         if isinstance(each, Series):
-            panels.setdefault((each.name.partition(":")[0], each.unit, each.x_name), []).append(each)
+            panels.setdefault((each.name.partition(":")[0], each.unit, each.x_name), []).append(
+                each
+            )
     rows = max(1, -(-len(panels) // COLUMNS))
     figure, axes = pyplot.subplots(rows, COLUMNS, figsize=(5 * COLUMNS, 3.4 * rows), squeeze=False)
-    for axis in axes.flat[len(panels):]:
+    for axis in axes.flat[len(panels) :]:
         axis.set_visible(False)
     for axis, ((case, unit, x_name), group) in zip(axes.flat, panels.items(), strict=False):
         for series in group:
@@ -123,22 +154,48 @@
 
 def draw_series(axis: Any, series: Series) -> None:
     spreads, xs = [point.spread for point in series.points], [point.x for point in series.points]
-    bars = [[each.median - each.low for each in spreads], [each.high - each.median for each in spreads]]
-    line = axis.errorbar(xs, [each.median for each in spreads], bars, fmt="o", markersize=3, capsize=2,
-                         label=series.name.partition(": ")[2])
+    bars = [
+        [each.median - each.low for each in spreads],
+        [each.high - each.median for each in spreads],
+    ]
+    line = axis.errorbar(
+        xs,
+        [each.median for each in spreads],
+        bars,
+        fmt="o",
+        markersize=3,
+        capsize=2,
+        label=series.name.partition(": ")[2],
+    )
     fit = series.fit
     if fit is not None:
-        axis.plot([fit.low, fit.high], [fit.at(fit.low), fit.at(fit.high)], "--", linewidth=0.8,
-                  color=line[0].get_color())
+        axis.plot(
+            [fit.low, fit.high],
+            [fit.at(fit.low), fit.at(fit.high)],
+            "--",
+            linewidth=0.8,
+            color=line[0].get_color(),
+        )
 
 
 @click.command(help=__doc__)
 @click.argument("groups", nargs=-1, required=True, type=click.Choice(["all", *GROUPS]))
-@click.option("--repeats", default=3, show_default=True, type=click.IntRange(min=1), help="Of each figure.")
+@click.option(
+    "--repeats", default=3, show_default=True, type=click.IntRange(min=1), help="Of each figure."
+)
 @click.option("--quick", is_flag=True, help="Smaller sizes, within a minute.")
-@click.option("--json", "json_file", type=click.Path(dir_okay=False, path_type=Path), help="Write all of it there.")
-@click.option("--plot", type=click.Path(dir_okay=False, path_type=Path), help="Draw it into this PNG file.")
-def main(groups: tuple[str, ...], repeats: int, quick: bool, json_file: Path | None, plot: Path | None) -> None:
+@click.option(
+    "--json",
+    "json_file",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="Write all of it there.",
+)
+@click.option(
+    "--plot", type=click.Path(dir_okay=False, path_type=Path), help="Draw it into this PNG file."
+)
+def main(
+    groups: tuple[str, ...], repeats: int, quick: bool, json_file: Path | None, plot: Path | None
+) -> None:
     load = round(os.getloadavg()[0], 2)
     effort, findings, took = Effort(repeats, quick), list[Finding](), dict[str, float]()
     for name in GROUPS if "all" in groups else dict.fromkeys(groups):
--- a/bench/scale_connections.py
+++ b/bench/scale_connections.py
@@ -56,7 +56,9 @@
 
     def __init__(self, port: int, count: int) -> None:
         self.loop = Loop()
-        self.nodes = Nodes(self.loop, STREAMS, 1, CONNECT, IDLE, count, lambda event, **fields: None)
+        self.nodes = Nodes(
+            self.loop, STREAMS, 1, CONNECT, IDLE, count, lambda event, **fields: None
+        )
         self.names = [f"s{number}" for number in range(count)]
         self.nodes.take_addresses([(name, "127.0.0.1", port) for name in self.names], whole=True)
         self.answered = self.failed = 0
@@ -64,14 +66,16 @@
     def open(self) -> Broker:
         """A connection to each node, with a probe answered on it."""
         for begin in range(0, len(self.names), BATCH):
-            batch = self.names[begin:begin + BATCH]
+            batch = self.names[begin : begin + BATCH]
             for name in batch:
                 self.nodes.probe(name, self.on_probed)
             until = time.monotonic() + OPENED_IN
             while self.answered + self.failed < begin + len(batch) and time.monotonic() < until:
                 self.loop.turn()
         if self.answered < len(self.names):
-            raise RuntimeError(f"{self.answered} of {len(self.names)} connections came up, {self.failed} failed")
+            raise RuntimeError(
+                f"{self.answered} of {len(self.names)} connections came up, {self.failed} failed"
+            )
         return self
 
     def on_probed(self, outcome: Outcome, load: Load) -> None:
@@ -109,8 +113,12 @@
     gathered.add("idle, loop", "us/s", count, seconds_of(broker.idle) / QUIET * 1e6)
     swept = seconds_of(broker.sweeps) / SWEEPS
     gathered.add(f"idle, a sweep each {SWEEP:.1f} s", "us/s", count, swept / SWEEP * 1e6)
-    gathered.add("one look for room (Nodes.open)", "us", count,
-                 seconds_of(lambda: [broker.nodes.open() for _ in range(SWEEPS)]) / SWEEPS * 1e6)
+    gathered.add(
+        "one look for room (Nodes.open)",
+        "us",
+        count,
+        seconds_of(lambda: [broker.nodes.open() for _ in range(SWEEPS)]) / SWEEPS * 1e6,
+    )
     if broker.nodes.open() != count:
         raise RuntimeError(f"{broker.nodes.open()} of {count} connections are left")
     broker.close()
@@ -120,13 +128,17 @@
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     gathered = Gathered("connections", NODES)
     with socket.create_server(("127.0.0.1", 0), backlog=4 * BATCH) as listener:
-        nodes = multiprocessing.get_context("fork").Process(target=serve, args=(listener,), daemon=True)
+        nodes = multiprocessing.get_context("fork").Process(
+            target=serve, args=(listener,), daemon=True
+        )
         nodes.start()
         try:
             for count in effort.sizes(50, 200, 500, 1000, 2000):
                 if count + BESIDE > limit:
-                    yield Note(f"connections: not measured with {count}: they need {count + BESIDE} descriptors, and "
-                               f"the limit (RLIMIT_NOFILE) is {limit}")
+                    yield Note(
+                        f"connections: not measured with {count}: they need {count + BESIDE} descriptors, and "
+                        f"the limit (RLIMIT_NOFILE) is {limit}"
+                    )
                     continue
                 for _ in effort.seeds:
                     play(gathered, listener.getsockname()[1], count)
@@ -134,5 +146,7 @@
             nodes.kill()
             nodes.join()
     if NODES + BESIDE > limit:
-        yield Note(f"connections: {NODES} need {NODES + BESIDE} descriptors, and the limit here is {limit}")
+        yield Note(
+            f"connections: {NODES} need {NODES + BESIDE} descriptors, and the limit here is {limit}"
+        )
     yield from gathered.series("connections")
--- a/bench/scale_decide.py
+++ b/bench/scale_decide.py
@@ -75,7 +75,11 @@
     chance, cells = random.Random(identity), dict[int, list[ServerEntry]]()
     for entry in entries:
         cells.setdefault(entry.cell, []).append(entry)
-    return [each for cell in cells.values() for each in chance.sample(cell, min(RANDOM_REPLICAS, len(cell)))]
+    return [
+        each
+        for cell in cells.values()
+        for each in chance.sample(cell, min(RANDOM_REPLICAS, len(cell)))
+    ]
 
 
 def make_subset(cells: int, identity: str) -> Subset:
@@ -98,15 +102,32 @@
 
 def make_entries(shards: int, replicas: int, cold: int = 0) -> list[ServerEntry]:
     """`cold`: so many replicas of each shard started a while ago."""
-    return [ServerEntry(f"s{shard:03}-{replica:02}", f"z{replica % 13}", shard, ServerState.LIVE,
-                        up_since=BEGAN - COLD_SINCE if replica < cold else 0.0)
-            for replica in range(replicas) for shard in range(shards)]
+    return [
+        ServerEntry(
+            f"s{shard:03}-{replica:02}",
+            f"z{replica % 13}",
+            shard,
+            ServerState.LIVE,
+            up_since=BEGAN - COLD_SINCE if replica < cold else 0.0,
+        )
+        for replica in range(replicas)
+        for shard in range(shards)
+    ]
 
 
 def make_settings(shards: int, instances: int = BROKERS, probing: bool = False) -> Settings:
-    search = QueryClass("search", aim=AIM, deadline=4 * AIM, worth=1.0, floor=0.5, partial_value=0.9)
-    return Settings(instances, cells=shards, reach=1, parts_per_call=1, classes={"search": search}, rules=RULES,
-                    limits=Limits(max_attempts=3, cancelling=True, probing=probing))
+    search = QueryClass(
+        "search", aim=AIM, deadline=4 * AIM, worth=1.0, floor=0.5, partial_value=0.9
+    )
+    return Settings(
+        instances,
+        cells=shards,
+        reach=1,
+        parts_per_call=1,
+        classes={"search": search},
+        rules=RULES,
+        limits=Limits(max_attempts=3, cancelling=True, probing=probing),
+    )
 
 
 class Driver:
@@ -136,20 +157,26 @@
                 heapq.heappush(self.timers, (action.at, action.token))
         return actions
 
-    def query(self, parts: int, response: float = RESPONSE, load: dict[str, float] | None = None) -> None:
+    def query(
+        self, parts: int, response: float = RESPONSE, load: dict[str, float] | None = None
+    ) -> None:
         """One from its arrival to its last answer, and the gap after it."""
         self.now += GAP
         self.number += 1
         first = self.number * 1000
         events: list[Event] = [QueryArrived(self.number, self.number, "search", self.now + 4 * AIM)]
-        events += [PartArrived(first + place, self.number, shard, 1 / parts)
-                   for place, shard in enumerate(self.chance.sample(range(self.settings.cells), parts))]
+        events += [
+            PartArrived(first + place, self.number, shard, 1 / parts)
+            for place, shard in enumerate(self.chance.sample(range(self.settings.cells), parts))
+        ]
         actions = self.handle(events)
         spent = self.took
         probes = [each.server for each in actions if isinstance(each, Probe)]
         if probes:
             self.now += 0.001
-            actions = self.handle([ProbeEnded(each, Outcome.SERVED, 0.001, {"inflight": BUSY}) for each in probes])
+            actions = self.handle(
+                [ProbeEnded(each, Outcome.SERVED, 0.001, {"inflight": BUSY}) for each in probes]
+            )
             spent += self.took
         self.probes += len(probes)
         self.placing.append(spent)
@@ -162,7 +189,13 @@
         for send in sorted(sends, key=lambda each: times[each.part_id]):
             after = times[send.part_id]
             self.now = sent + after
-            self.handle([AttemptEnded(send.part_id, send.attempt, send.server, Outcome.SERVED, after, load=load)])
+            self.handle(
+                [
+                    AttemptEnded(
+                        send.part_id, send.attempt, send.server, Outcome.SERVED, after, load=load
+                    )
+                ]
+            )
             self.answering.append(self.took)
 
     def queries(self, count: int, parts: int) -> None:
@@ -175,7 +208,9 @@
     def change(self) -> float:
         """Seconds for one entry that changes."""
         found = next(iter(self.aggregator.capsules.values())).entry
-        draining = ServerEntry(found.server, found.zone, found.cell, ServerState.DRAINING, found.size, found.up_since)
+        draining = ServerEntry(
+            found.server, found.zone, found.cell, ServerState.DRAINING, found.size, found.up_since
+        )
         self.now += GAP
         self.handle([ListReceived(ListKind.CHANGES, (draining,))])
         return self.took
@@ -202,8 +237,11 @@
             gathered.add("whole list", "ms", nodes, driver.list_took * 1e3)
             gathered.add("one change", "ms", nodes, driver.change() * 1e3)
         for seed in effort.seeds:
-            size, _ = bytes_of(lambda nodes=nodes, settings=settings, seed=seed:  # type: ignore[misc]
-                               Driver(settings, make_entries(nodes // 2, 2), seed))
+            size, _ = bytes_of(
+                lambda nodes=nodes, settings=settings, seed=seed: (  # type: ignore[misc]
+                    Driver(settings, make_entries(nodes // 2, 2), seed)
+                )
+            )
             gathered.add("memory with the entries", "bytes", nodes, size)
     yield from gathered.series("decide, 2 replicas, 6 parts")
 
@@ -242,7 +280,12 @@
             driver.now += RULES.fall_time  # after that a new instance may use cold servers
             driver.queries(20, 58)
             case = f"decide, {instances} instances, one cold replica of 4"
-            cases.add(case, "a part, all", "us", (sum(driver.placing) + sum(driver.answering)) / 20 / 58 * 1e6)
+            cases.add(
+                case,
+                "a part, all",
+                "us",
+                (sum(driver.placing) + sum(driver.answering)) / 20 / 58 * 1e6,
+            )
             used = sum(len(driver.aggregator.capsules[each].share.spent) for each in cold)
             cases.add(case, "parts at cold servers within a second", "parts", used)
     yield from cases.figures()
@@ -251,18 +294,30 @@
 def against_probes(effort: Effort) -> Iterator[Finding]:
     """Servers that hold work of others, so that they are asked; queries follow each other at a broker's rate."""
     gathered = Gathered("holders of a query's parts", NODES)
-    for parts, replicas in ((6, 10), (58, 10), (58, REPLICAS), *([] if effort.quick else [(SHARDS, REPLICAS)])):
+    for parts, replicas in (
+        (6, 10),
+        (58, 10),
+        (58, REPLICAS),
+        *([] if effort.quick else [(SHARDS, REPLICAS)]),
+    ):
         shards = max(parts, 58)
         entries, settings = make_entries(shards, replicas), make_settings(shards, probing=True)
         for seed in effort.seeds:
             driver = Driver(settings, entries, seed)
             driver.query(parts, PROBED_RESPONSE, {"inflight": BUSY})
             gathered.add("probes of the first query", "probes", parts * replicas, driver.probes)
-            gathered.add("first query placed, probes and all", "ms", parts * replicas, driver.placing[0] * 1e3)
+            gathered.add(
+                "first query placed, probes and all",
+                "ms",
+                parts * replicas,
+                driver.placing[0] * 1e3,
+            )
             first = driver.probes
             for _ in range(4):
                 driver.query(parts, PROBED_RESPONSE, {"inflight": BUSY})
-            gathered.add("probes of a later query", "probes", parts * replicas, (driver.probes - first) / 4)
+            gathered.add(
+                "probes of a later query", "probes", parts * replicas, (driver.probes - first) / 4
+            )
     yield from gathered.series("decide, probing")
 
 
@@ -278,7 +333,9 @@
     yield from cases.figures()
 
 
-def plan_case(cases: Cases, case: str, settings: Settings, entries: list[ServerEntry], plan: Plan, seed: int) -> None:
+def plan_case(
+    cases: Cases, case: str, settings: Settings, entries: list[ServerEntry], plan: Plan, seed: int
+) -> None:
     shards, count, identity = settings.cells, 2, f"broker-{seed}"
     kept = plan(entries, identity)
     cases.add(case, "nodes kept", "nodes", len(kept))
@@ -291,7 +348,9 @@
     cases.add(case, "an answer, mean", "us", sum(driver.answering) / len(driver.answering) * 1e6)
     for share in (50, 99):
         cases.add(case, f"an answer, p{share}", "us", percentile(driver.answering, share))
-    cases.add(case, "a query, all", "ms", (sum(driver.placing) + sum(driver.answering)) / count * 1e3)
+    cases.add(
+        case, "a query, all", "ms", (sum(driver.placing) + sum(driver.answering)) / count * 1e3
+    )
     cases.add(case, "parts placed of those asked", "share", driver.placed / count / shards)
     size, _ = bytes_of(lambda: Driver(settings, kept, seed))
     cases.add(case, "memory beside the list", "MB", size / 1e6)
@@ -301,7 +360,16 @@
 
 
 def measure(effort: Effort) -> Iterator[Finding]:
-    yield Note(f"decide: time within Aggregator.handle alone; a query's answers come one a call, {RESPONSE * 1e3:.0f} "
-               f"ms after their sends in the mean, none lost; aim {AIM * 1e3:.0f} ms, floor 0.5")
-    for part in (against_nodes, against_replicas, against_parts, against_instances, against_probes, by_plan):
+    yield Note(
+        f"decide: time within Aggregator.handle alone; a query's answers come one a call, {RESPONSE * 1e3:.0f} "
+        f"ms after their sends in the mean, none lost; aim {AIM * 1e3:.0f} ms, floor 0.5"
+    )
+    for part in (
+        against_nodes,
+        against_replicas,
+        against_parts,
+        against_instances,
+        against_probes,
+        by_plan,
+    ):
         yield from part(effort)
--- a/bench/scale_loop.py
+++ b/bench/scale_loop.py
@@ -27,13 +27,17 @@
         found = [sockets.play(rate, seconds) for _ in effort.seeds]
         for each in found:
             add(cases, f"loop, {rate:.0f} queries a second", each, seconds)
-        served = statistics.median(each.queries for each in found) * PARTS / seconds  # clients may fall behind
+        served = (
+            statistics.median(each.queries for each in found) * PARTS / seconds
+        )  # clients may fall behind
         points.append(Point(served, tuple(each.spent / seconds * 1e3 for each in found)))
     for _ in effort.seeds:
         for name, cost in sockets.stages(sockets.any_service()).items():
             cases.add("loop, stages of a query of 2 parts", name, "us", cost)
-    yield Note("loop: the target is the parts/s of one broker if every query goes to all shards; nodes, clients and "
-               "the broker share the machine")
+    yield Note(
+        "loop: the target is the parts/s of one broker if every query goes to all shards; nodes, clients and "
+        "the broker share the machine"
+    )
     yield Series("loop: CPU", "parts/s", "ms/s", QUERIES * SHARDS / BROKERS, tuple(points))
     yield from cases.figures()
 
@@ -46,4 +50,9 @@
     cases.add(case, "CPU a part, loop and codecs", "us", (found.user - found.module) / parts * 1e6)
     cases.add(case, "CPU a part, kernel", "us", found.system / parts * 1e6)
     for share in (50, 99):
-        cases.add(case, f"an answer's last byte to the module, p{share}", "us", percentile(found.took, share))
+        cases.add(
+            case,
+            f"an answer's last byte to the module, p{share}",
+            "us",
+            percentile(found.took, share),
+        )
--- a/bench/scale_members.py
+++ b/bench/scale_members.py
@@ -58,8 +58,9 @@
 def settled(model: Model) -> bool:
     """As `Model.settled`, which compares all names, after a look at the counts alone."""
     count = len(model.up())
-    return all(each.table.counts[State.ALIVE] == count == len(each.table.here) for each in members(model)) and (
-        model.settled())
+    return all(
+        each.table.counts[State.ALIVE] == count == len(each.table.here) for each in members(model)
+    ) and (model.settled())
 
 
 def passed(model: Model, limit: float, done: Callable[[], bool]) -> float | None:
@@ -93,28 +94,50 @@
         model = self.model
         model.run(1.0)
         self.wait("settled after all started within a second", SETTLE, lambda: settled(model))
-        self.add("start until settled or the cap, member that sent most", "bytes/s",
-                 max(each.sent for each in model.up()) / model.now)
-        self.add("start until settled or the cap, CPU of a member", "us/s", self.spent() / self.size / model.now * 1e6)
-        self.add("start until settled or the cap, kept back by the rate, all members", "datagrams", self.kept_back())
+        self.add(
+            "start until settled or the cap, member that sent most",
+            "bytes/s",
+            max(each.sent for each in model.up()) / model.now,
+        )
+        self.add(
+            "start until settled or the cap, CPU of a member",
+            "us/s",
+            self.spent() / self.size / model.now * 1e6,
+        )
+        self.add(
+            "start until settled or the cap, kept back by the rate, all members",
+            "datagrams",
+            self.kept_back(),
+        )
 
     def quiet(self) -> None:
         model = self.model
         model.run(model.now + CALM)
-        sent, spent, kept = {each.name: each.sent for each in model.up()}, self.spent(), self.kept_back()
+        sent, spent, kept = (
+            {each.name: each.sent for each in model.up()},
+            self.spent(),
+            self.kept_back(),
+        )
         model.run(model.now + QUIET)
         rates = sorted((each.sent - sent[each.name]) / QUIET for each in model.up())
         self.add("quiet, median member", "bytes/s", rates[len(rates) // 2])
         self.add("quiet, member that sends most", "bytes/s", rates[-1])
         self.add("quiet, CPU of a member", "us/s", (self.spent() - spent) / self.size / QUIET * 1e6)
-        self.add("quiet, kept back by the rate, all members", "datagrams/s", (self.kept_back() - kept) / QUIET)
+        self.add(
+            "quiet, kept back by the rate, all members",
+            "datagrams/s",
+            (self.kept_back() - kept) / QUIET,
+        )
 
     def crash(self) -> None:
         model, kept = self.model, self.kept_back()
         victim = f"b{self.size - 1}"
         model.kill(victim)
-        self.wait("all learnt of a crash", LEARN, lambda: all(
-            each.table.records[victim].state is State.DEAD for each in members(model)))
+        self.wait(
+            "all learnt of a crash",
+            LEARN,
+            lambda: all(each.table.records[victim].state is State.DEAD for each in members(model)),
+        )
         self.add("crash, kept back by the rate, all members", "datagrams", self.kept_back() - kept)
 
     def cut(self) -> None:
@@ -125,20 +148,31 @@
         model.run(model.now + CUT)
         model.network.cut = lambda source, target: False
         self.wait("settled after a zone returned", SETTLE, lambda: settled(model))
-        self.add("zone's cut and return, kept back by the rate, all members", "datagrams", self.kept_back() - kept)
-        self.add("zone's cut and return, CPU of a member", "us/s",
-                 (self.spent() - spent) / self.size / (model.now - begun) * 1e6)
+        self.add(
+            "zone's cut and return, kept back by the rate, all members",
+            "datagrams",
+            self.kept_back() - kept,
+        )
+        self.add(
+            "zone's cut and return, CPU of a member",
+            "us/s",
+            (self.spent() - spent) / self.size / (model.now - begun) * 1e6,
+        )
 
     def notes(self, seed: int) -> Iterator[Note]:
         for text in self.late:
             yield Note(f"members: {self.size} members, seed {seed}: {text}")
         refused = sum(each.table.refused for each in self.everyone())
         if refused:
-            yield Note(f"members: {self.size} members, seed {seed}: {refused} records refused for want of room")
+            yield Note(
+                f"members: {self.size} members, seed {seed}: {refused} records refused for want of room"
+            )
 
     def everyone(self) -> list[Timed]:
         """Those that died too."""
-        return [each.member for each in self.model.processes.values() if isinstance(each.member, Timed)]
+        return [
+            each.member for each in self.model.processes.values() if isinstance(each.member, Timed)
+        ]
 
     def spent(self) -> float:
         return sum(each.spent for each in self.everyone())
@@ -193,8 +227,10 @@
             gathered.add("memory of one member's table", "bytes", count, size)
     yield from gathered.series("members")
     kept = len(table_of(BROKERS, PeerSettings().most).table.records)
-    yield Note(f"members: as shipped a table keeps {kept} records of {BROKERS} members ({PeerSettings().most}, those "
-               f"that died within {PeerSettings().tombstone:.0f} s among them); its memory is measured with {ROOM}")
+    yield Note(
+        f"members: as shipped a table keeps {kept} records of {BROKERS} members ({PeerSettings().most}, those "
+        f"that died within {PeerSettings().tombstone:.0f} s among them); its memory is measured with {ROOM}"
+    )
 
 
 def table_of(count: int, most: int = ROOM) -> Members:
@@ -209,7 +245,10 @@
     for series in found:
         if "kept back" in series.name:
             sizes = [point.x for point in series.points if point.spread.median > 0]
-            yield Note(f"{series.name}: " + (f"from {min(sizes):.0f} members on" if sizes else "nothing at any size"))
+            yield Note(
+                f"{series.name}: "
+                + (f"from {min(sizes):.0f} members on" if sizes else "nothing at any size")
+            )
 
 
 def measure(effort: Effort) -> Iterator[Finding]:
--- a/bench/scale_owners.py
+++ b/bench/scale_owners.py
@@ -20,7 +20,10 @@
 LEDGER = 5.0  # seconds between two records of a job
 BEGIN, QUIET = 10.0, 10.0  # virtual seconds until it is counted, and for how long
 FEW, MANY = 1, 10  # jobs, where members are looked at
-SIZES = {FEW: (10, 25, 50, 100, 200), MANY: (10, 25, 50, 100)}  # members, in the time for a whole run
+SIZES = {
+    FEW: (10, 25, 50, 100, 200),
+    MANY: (10, 25, 50, 100),
+}  # members, in the time for a whole run
 
 
 class Counted(Fleet):
@@ -65,30 +68,52 @@
         self.spent = 0.0
 
     def jobs_owned(self) -> int:
-        return sum(any(each.node.jobs[job].owner.acting(self.clock(each)) for each in self.processes.values())
-                   for job in self.jobs)
-
-
-def play(gathered: Gathered, x: float, voters: int, members: int, jobs: int, seed: int) -> Note | None:
+        return sum(
+            any(
+                each.node.jobs[job].owner.acting(self.clock(each))
+                for each in self.processes.values()
+            )
+            for job in self.jobs
+        )
+
+
+def play(
+    gathered: Gathered, x: float, voters: int, members: int, jobs: int, seed: int
+) -> Note | None:
     fleet = Counted(voters, members - voters, jobs, seed, lease=LEASE, period=LEDGER)
     fleet.run(BEGIN)
     owned = fleet.jobs_owned()
     fleet.reset()
     fleet.run(BEGIN + QUIET)
     rates = sorted(fleet.bytes[name] / QUIET for name in fleet.processes)
-    gathered.add("datagrams of all members", "datagrams/s", x, sum(fleet.datagrams.values()) / QUIET)
-    gathered.add("datagrams of the member that sends most", "datagrams/s", x, max(fleet.datagrams.values()) / QUIET)
+    gathered.add(
+        "datagrams of all members", "datagrams/s", x, sum(fleet.datagrams.values()) / QUIET
+    )
+    gathered.add(
+        "datagrams of the member that sends most",
+        "datagrams/s",
+        x,
+        max(fleet.datagrams.values()) / QUIET,
+    )
     gathered.add("bytes of the median member", "bytes/s", x, rates[len(rates) // 2])
     gathered.add("bytes of the member that sends most", "bytes/s", x, rates[-1])
     gathered.add("saves of all voters", "saves/s", x, sum(fleet.saves.values()) / QUIET)
     gathered.add("CPU of a member, mean", "us/s", x, fleet.spent / members / QUIET * 1e6)
-    return Note(f"owners: {voters} voters, {members} members, {jobs} jobs, seed {seed}: {owned} of the jobs have an "
-                f"owner after {BEGIN:.0f} s") if owned < jobs else None
+    return (
+        Note(
+            f"owners: {voters} voters, {members} members, {jobs} jobs, seed {seed}: {owned} of the jobs have an "
+            f"owner after {BEGIN:.0f} s"
+        )
+        if owned < jobs
+        else None
+    )
 
 
 def measure(effort: Effort) -> Iterator[Finding]:
-    yield Note(f"owners: lease {LEASE:g} s, each job's ledger written about each {LEDGER:g} s; a fleet keeps "
-               f"{MOST_JOBS} jobs at the most")
+    yield Note(
+        f"owners: lease {LEASE:g} s, each job's ledger written about each {LEDGER:g} s; a fleet keeps "
+        f"{MOST_JOBS} jobs at the most"
+    )
     for voters in (3, 5):
         for jobs in (FEW, MANY):
             gathered = Gathered("members", BROKERS)
--- a/bench/scale_readers.py
+++ b/bench/scale_readers.py
@@ -36,16 +36,32 @@
 
 def file_rows(count: int, seed: int) -> bytes:
     chance = random.Random(seed)
-    rows = [{"address": address(place), "zone": f"z{place % 13}", "cell": place % SHARDS, "state": "live",
-             "size": chance.choice((1.0, 2.0)), "kind": "m",
-             "up_since": STARTED + chance.randrange(10**6)} for place in range(count)]
+    rows = [
+        {
+            "address": address(place),
+            "zone": f"z{place % 13}",
+            "cell": place % SHARDS,
+            "state": "live",
+            "size": chance.choice((1.0, 2.0)),
+            "kind": "m",
+            "up_since": STARTED + chance.randrange(10**6),
+        }
+        for place in range(count)
+    ]
     return orjson.dumps({"boxes": rows})
 
 
 def platform_row(place: int, chance: random.Random) -> dict[str, Any]:
-    return {"id": f"s{place % SHARDS:03}-{place // SHARDS:02}", "addr": address(place), "zone": f"z{place % 13}",
-            "kind": "m", "cell": place % SHARDS, "state": "active", "weight": 1.0,
-            "started_ms": (STARTED + chance.randrange(10**6)) * 1000}
+    return {
+        "id": f"s{place % SHARDS:03}-{place // SHARDS:02}",
+        "addr": address(place),
+        "zone": f"z{place % 13}",
+        "kind": "m",
+        "cell": place % SHARDS,
+        "state": "active",
+        "weight": 1.0,
+        "started_ms": (STARTED + chance.randrange(10**6)) * 1000,
+    }
 
 
 def platform_list(length: int, seed: int) -> bytes:
@@ -65,7 +81,11 @@
         self.reader.feed(HEAD)
 
     def read(self, data: bytes) -> list[NodeList]:
-        found = [line for start in range(0, len(data), CHUNK) for line in self.reader.feed(data[start:start + CHUNK])]
+        found = [
+            line
+            for start in range(0, len(data), CHUNK)
+            for line in self.reader.feed(data[start : start + CHUNK])
+        ]
         return [read_list(orjson.loads(line), CLOCK_OFFSET) for line in found]
 
 
@@ -79,21 +99,33 @@
 
 def file_reader(gathered: Gathered, path: Path, length: int, seed: int) -> None:
     path.write_bytes(file_rows(length, seed))
-    gathered.add("file read", "ms", length, seconds_of(lambda: read_entries(path, CLOCK_OFFSET)) * 1e3)
+    gathered.add(
+        "file read", "ms", length, seconds_of(lambda: read_entries(path, CLOCK_OFFSET)) * 1e3
+    )
     size, old = bytes_of(lambda: read_entries(path, CLOCK_OFFSET))
     gathered.add("file's entries", "bytes", length, size)
     new = read_entries(path, CLOCK_OFFSET)
     name = next(iter(new))
     new[name] = replace(new[name], state=ServerState.DRAINING)
-    gathered.add("one change found in the file's entries", "ms", length, seconds_of(lambda: changes(old, new)) * 1e3)
+    gathered.add(
+        "one change found in the file's entries",
+        "ms",
+        length,
+        seconds_of(lambda: changes(old, new)) * 1e3,
+    )
     if len(changes(old, new)) != 1:
         raise AssertionError("one entry differs, and more or less than one was told")
 
 
 def platform_reader(gathered: Gathered, length: int, seed: int) -> None:
-    full, change = platform_list(length, seed), message(False, [platform_row(0, random.Random(seed))])
+    full, change = (
+        platform_list(length, seed),
+        message(False, [platform_row(0, random.Random(seed))]),
+    )
     gathered.add("platform's list on the wire", "bytes", length, len(full))
-    gathered.add("platform's whole list", "ms", length, seconds_of(lambda: Watch().read(full)) * 1e3)
+    gathered.add(
+        "platform's whole list", "ms", length, seconds_of(lambda: Watch().read(full)) * 1e3
+    )
     size, _ = bytes_of(lambda: Watch().read(full))
     gathered.add("platform's entries and addresses", "bytes", length, size)
     watch = Watch()
@@ -118,9 +150,11 @@
         full = platform_list(length, 0)
         why = refusal(full)
         if why:
-            yield Note(f"readers: the platform's reader as shipped refuses {length} nodes in {len(full) / 1e6:.1f} MB: "
-                       f"{why} (MOST_NODES {discovery.MOST_NODES}, MOST_LINE {discovery.MOST_LINE}); measured with "
-                       f"both x {ROOM}")
+            yield Note(
+                f"readers: the platform's reader as shipped refuses {length} nodes in {len(full) / 1e6:.1f} MB: "
+                f"{why} (MOST_NODES {discovery.MOST_NODES}, MOST_LINE {discovery.MOST_LINE}); measured with "
+                f"both x {ROOM}"
+            )
 
 
 def measure(effort: Effort) -> Iterator[Finding]:
--- a/bench/scale_report.py
+++ b/bench/scale_report.py
@@ -40,7 +40,7 @@
 
     def sizes(self, *sizes: int) -> tuple[int, ...]:
         """All, or without the greatest ones."""
-        return sizes[:max(FEWEST, len(sizes) // 2)] if self.quick else sizes
+        return sizes[: max(FEWEST, len(sizes) // 2)] if self.quick else sizes
 
     @property
     def seeds(self) -> range:
@@ -58,9 +58,16 @@
         self.values.setdefault((name, unit), {}).setdefault(x, []).append(value)
 
     def series(self, case: str) -> list[Series]:
-        return [Series(f"{case}: {name}", self.x_name, unit, self.target,
-                       tuple(Point(x, tuple(each)) for x, each in sorted(points.items())))
-                for (name, unit), points in self.values.items()]
+        return [
+            Series(
+                f"{case}: {name}",
+                self.x_name,
+                unit,
+                self.target,
+                tuple(Point(x, tuple(each)) for x, each in sorted(points.items())),
+            )
+            for (name, unit), points in self.values.items()
+        ]
 
 
 class Cases:
--- a/bench/scale_subset.py
+++ b/bench/scale_subset.py
@@ -69,7 +69,9 @@
     held = next(iter(subset.index.cells[0].held.values()))
     drained = ListReceived(ListKind.CHANGES, (replace(held, state=ServerState.DRAINING),))
     gathered.add("one held node drains", "us", nodes, sum(units_of(subset, drained)) * 1e6)
-    other = next(entry for entry in entries if entry.cell == 1 and not subset.index.held(entry.server))
+    other = next(
+        entry for entry in entries if entry.cell == 1 and not subset.index.held(entry.server)
+    )
     gone = ListReceived(ListKind.CHANGES, (replace(other, state=ServerState.GONE),))
     gathered.add("one other node goes", "us", nodes, sum(units_of(subset, gone)) * 1e6)
 
@@ -79,6 +81,7 @@
     cases, shards = Cases(), 58 if effort.quick else SHARDS
     case, entries = f"subset and module, {shards}x{REPLICAS}", make_entries(shards, REPLICAS)
     for seed in effort.seeds:
+
         def both(seed: int = seed) -> tuple[Subset, Driver]:
             subset = taken(entries, shards, f"broker-{seed}")
             held = list(subset.index.in_use())
@@ -86,7 +89,9 @@
 
         size, _ = bytes_of(both)
         cases.add(case, "memory beside the list", "MB", size / 1e6)
-        units = units_of(make_subset(shards, f"broker-{seed}"), ListReceived(ListKind.FULL, tuple(entries)))
+        units = units_of(
+            make_subset(shards, f"broker-{seed}"), ListReceived(ListKind.FULL, tuple(entries))
+        )
         for share in (50, 99, 100):
             cases.add(case, f"a unit of work, p{share}", "us", percentile(units, share))
     yield from cases.figures()
--- a/bench/shares.py
+++ b/bench/shares.py
@@ -11,11 +11,24 @@
 
 import click
 
-HEART = ("stepknot/logic.py", "stepknot/records.py", "stepknot/interface.py", "stepknot/benchlink.py",
-         "stepknot/broker/", "stepknot/boxes/", "stepknot/discovery/", "stepknot/search/", "stepknot/zones/",
-         "stepknot/admission/", "stepknot/peers/", "stepknot/ownership/", "stepknot/subsets/",
-         "stepknot/net/loop.py",
-         "stepknot/platform/nodes.py", "stepknot/platform/discovery.py")
+HEART = (
+    "stepknot/logic.py",
+    "stepknot/records.py",
+    "stepknot/interface.py",
+    "stepknot/benchlink.py",
+    "stepknot/broker/",
+    "stepknot/boxes/",
+    "stepknot/discovery/",
+    "stepknot/search/",
+    "stepknot/zones/",
+    "stepknot/admission/",
+    "stepknot/peers/",
+    "stepknot/ownership/",
+    "stepknot/subsets/",
+    "stepknot/net/loop.py",
+    "stepknot/platform/nodes.py",
+    "stepknot/platform/discovery.py",
+)
 
 
 def kind(path: str) -> str:
@@ -31,13 +44,19 @@
 def main(since: str | None) -> None:
     counts: Counter[str] = Counter()
     if since:
-        out = subprocess.run(["git", "diff", "--numstat", since, "--", "*.py"], capture_output=True, text=True,
-                             check=True).stdout
+        out = subprocess.run(
+            ["git", "diff", "--numstat", since, "--", "*.py"],
+            capture_output=True,
+            text=True,
+            check=True,
+        ).stdout
         for line in out.splitlines():
             added, _, path = line.split("\t")
             counts[kind(path)] += int(added)
     else:
-        files = subprocess.run(["git", "ls-files", "*.py"], capture_output=True, text=True, check=True).stdout
+        files = subprocess.run(
+            ["git", "ls-files", "*.py"], capture_output=True, text=True, check=True
+        ).stdout
         for path in files.split():
             with open(path) as file:
                 counts[kind(path)] += sum(bool(line.strip()) for line in file)
--- a/bench/sockets.py
+++ b/bench/sockets.py
@@ -52,8 +52,10 @@
             data += chunk
             while len(data) >= 4 and len(data) >= 4 + (size := int.from_bytes(data[:4], "little")):
                 if data[4:5] == b"R":
-                    threading.Thread(target=later, args=(sock, data[5:].split(b" ")[0]), daemon=True).start()
-                data = data[4 + size:]
+                    threading.Thread(
+                        target=later, args=(sock, data[5:].split(b" ")[0]), daemon=True
+                    ).start()
+                data = data[4 + size :]
 
     with socket.create_server(("127.0.0.1", port)) as server:
         while True:
@@ -64,9 +66,16 @@
 
 def request(number: int) -> bytes:
     shards = (0, 1)
-    body = orjson.dumps({"segments": [{"segment": each, "boost": 0.5, "work": 9000} for each in shards], "text": "c4"})
-    return (f"POST /list HTTP/1.1\r\nhost: x\r\nx-txn: q{number:012d}\r\nx-remaining: 900m\r\n"
-            f"content-length: {len(body)}\r\n\r\n").encode() + body
+    body = orjson.dumps(
+        {
+            "segments": [{"segment": each, "boost": 0.5, "work": 9000} for each in shards],
+            "text": "c4",
+        }
+    )
+    return (
+        f"POST /list HTTP/1.1\r\nhost: x\r\nx-txn: q{number:012d}\r\nx-remaining: 900m\r\n"
+        f"content-length: {len(body)}\r\n\r\n"
+    ).encode() + body
 
 
 def client(port: int, first: int, rate: float, seconds: float) -> None:
@@ -80,23 +89,75 @@
 
 
 def configuration(listen: int, nodes: list[int]) -> bytes:
-    rows = [{"id": f"s-{place}", "addr": f"127.0.0.1:{port}", "zone": "a", "kind": "m", "cell": place,
-             "state": "active", "weight": 1.0, "started_ms": 0} for place, port in enumerate(nodes)]
-    lane = {"name": "list", "slo-ns": 300e6, "deadline-ns": 1e9, "points": 1.0, "late-value": 0.0,
-            "idempotency": "idempotent"}
+    rows = [
+        {
+            "id": f"s-{place}",
+            "addr": f"127.0.0.1:{port}",
+            "zone": "a",
+            "kind": "m",
+            "cell": place,
+            "state": "active",
+            "weight": 1.0,
+            "started_ms": 0,
+        }
+        for place, port in enumerate(nodes)
+    ]
+    lane = {
+        "name": "list",
+        "slo-ns": 300e6,
+        "deadline-ns": 1e9,
+        "points": 1.0,
+        "late-value": 0.0,
+        "idempotency": "idempotent",
+    }
     settings = {
-        "allowed": {"cancelling": True, "conn-idle-ns": 30e9, "connect-timeout-ns": 250e6, "max-attempts": 3,
-                    "max-retry-after-ns": 1e9, "may-duplicate": False, "open-cap": 2000, "probing": False,
-                    "retry-after": True, "streams-per-conn": 32},
-        "balancers": 1, "discovery": "ask", "lanes": [lane], "period-ns": 1e6, "counted-by": "request",
-        "family-info": {"cells": 2, "class-fetch": [0], "class-floor": [1.0], "class-need": [1.0], "parts-a-call": 1,
-                        "partial-earns": [0.9], "ranges": 2, "span": 1},
-        "rules": {"ask-within-ns": 60e9, "cold-from": 0.3, "cold-ns": 1e9, "drain-grace-ns": 500e6, "fall-ns": 1e9,
-                  "tip-multiple": 2.5},
+        "allowed": {
+            "cancelling": True,
+            "conn-idle-ns": 30e9,
+            "connect-timeout-ns": 250e6,
+            "max-attempts": 3,
+            "max-retry-after-ns": 1e9,
+            "may-duplicate": False,
+            "open-cap": 2000,
+            "probing": False,
+            "retry-after": True,
+            "streams-per-conn": 32,
+        },
+        "balancers": 1,
+        "discovery": "ask",
+        "lanes": [lane],
+        "period-ns": 1e6,
+        "counted-by": "request",
+        "family-info": {
+            "cells": 2,
+            "class-fetch": [0],
+            "class-floor": [1.0],
+            "class-need": [1.0],
+            "parts-a-call": 1,
+            "partial-earns": [0.9],
+            "ranges": 2,
+            "span": 1,
+        },
+        "rules": {
+            "ask-within-ns": 60e9,
+            "cold-from": 0.3,
+            "cold-ns": 1e9,
+            "drain-grace-ns": 500e6,
+            "fall-ns": 1e9,
+            "tip-multiple": 2.5,
+        },
     }
-    return orjson.dumps({"name": "n0", "listen": f"127.0.0.1:{listen}", "discovery": f"127.0.0.1:{free()}",
-                         "seed": "1", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-                         "known": {"version": 1, "full": True, "servers": rows}, "settings": settings})
+    return orjson.dumps(
+        {
+            "name": "n0",
+            "listen": f"127.0.0.1:{listen}",
+            "discovery": f"127.0.0.1:{free()}",
+            "seed": "1",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
+            "known": {"version": 1, "full": True, "servers": rows},
+            "settings": settings,
+        }
+    )
 
 
 def timed(what: Callable[[], Any]) -> float:
@@ -124,10 +185,17 @@
         reader = frames.Reader()
         reader.feed(reply + reply)
 
-    return {"request parsed": timed(parse), "request read": timed(lambda: requests.read_ask(read, service.offer, 0.0)),
-            "two calls written": timed(lambda: [frames.call([(each.request, 0.2)]) for each in ask.first]),
-            "two answers read": timed(reply_both),
-            "answer written": timed(lambda: encode_response(requests.make_answer(ask, answer), read, False))}
+    return {
+        "request parsed": timed(parse),
+        "request read": timed(lambda: requests.read_ask(read, service.offer, 0.0)),
+        "two calls written": timed(
+            lambda: [frames.call([(each.request, 0.2)]) for each in ask.first]
+        ),
+        "two answers read": timed(reply_both),
+        "answer written": timed(
+            lambda: encode_response(requests.make_answer(ask, answer), read, False)
+        ),
+    }
 
 
 def heard(service: Service) -> list[float]:
@@ -175,8 +243,12 @@
     took = heard(service)
     lanes = 20
     others = [multiprocessing.Process(target=node, args=(port,), daemon=True) for port in ports]
-    others += [multiprocessing.Process(target=client, args=(listen, lane * 10**6, rate / lanes, seconds),
-                                       daemon=True) for lane in range(lanes)]
+    others += [
+        multiprocessing.Process(
+            target=client, args=(listen, lane * 10**6, rate / lanes, seconds), daemon=True
+        )
+        for lane in range(lanes)
+    ]
     for each in others:
         each.start()
     service.loop.call_later(seconds, service.stop)
@@ -186,8 +258,14 @@
     for each in others:
         each.kill()
         each.join()
-    return Played(max(core.counts["queries"], 1), sorted(took), service.loop.lag_most, after.ru_utime - before.ru_utime,
-                  after.ru_stime - before.ru_stime, core.decide_time)
+    return Played(
+        max(core.counts["queries"], 1),
+        sorted(took),
+        service.loop.lag_most,
+        after.ru_utime - before.ru_utime,
+        after.ru_stime - before.ru_stime,
+        core.decide_time,
+    )
 
 
 def any_service() -> Service:
@@ -203,10 +281,14 @@
     for rate in [float(each) for each in rates.split(",")]:
         found = play(rate, seconds)
         queries, took = found.queries, found.took
-        quantiles = ", ".join(f"{share:.1%} {took[int(share * len(took))] * 1e6:.0f}" for share in (0.5, 0.99, 0.999))
-        click.echo(f"{queries / seconds:.0f} queries a second: answer's last byte to the module, us: {quantiles}; "
-                   f"longest turn {found.longest_turn * 1e3:.1f} ms; CPU a query {found.spent / queries * 1e6:.0f} us, "
-                   f"the module {found.module / queries * 1e6:.0f} of it")
+        quantiles = ", ".join(
+            f"{share:.1%} {took[int(share * len(took))] * 1e6:.0f}" for share in (0.5, 0.99, 0.999)
+        )
+        click.echo(
+            f"{queries / seconds:.0f} queries a second: answer's last byte to the module, us: {quantiles}; "
+            f"longest turn {found.longest_turn * 1e3:.1f} ms; CPU a query {found.spent / queries * 1e6:.0f} us, "
+            f"the module {found.module / queries * 1e6:.0f} of it"
+        )
     click.echo("; ".join(f"{name} {cost:.0f} us" for name, cost in stages(any_service()).items()))
 
 
--- a/bench/subsets.py
+++ b/bench/subsets.py
@@ -68,7 +68,9 @@
     for each in found:
         of_zone = Counter(entry.zone for entry in each.entries)
         for entry in each.entries:
-            kinds[of_zone[entry.zone]].append(each.counts[entry.server] * len(each.entries) / each.total)
+            kinds[of_zone[entry.zone]].append(
+                each.counts[entry.server] * len(each.entries) / each.total
+            )
     return [float(np.mean(kinds[size])) for size in sorted(kinds)]
 
 
@@ -77,29 +79,45 @@
     all_ = next(groups(found, lambda entry: ""))
     shard = [value for group in groups(found, lambda entry: str(entry.cell)) for value in group]
     zone = [value for group in groups(found, lambda entry: entry.zone) for value in group]
-    loads = against([each.loads[entry.server] for each in found for entry in each.entries],
-                    [entry.size for each in found for entry in each.entries])
+    loads = against(
+        [each.loads[entry.server] for each in found for entry in each.entries],
+        [entry.size for each in found for entry in each.entries],
+    )
     total = sum(each.total for each in found)
     spread = zone_means(found)
-    return {"fleet": name, "nodes": len(all_), "brokers a node": total / len(all_),
-            "least": min(all_), "greatest": max(all_), "in a shard": max(shard), "in a zone": max(zone),
-            "zones of 4, of 5": " ".join(f"{each:.3f}" for each in by_zone_size(found)),
-            "zones' means": f"{min(spread):.2f} to {max(spread):.2f}",
-            "load": max(loads), "own zone": sum(each.near[0] for each in found) / total,
-            "own region": sum(each.near[0] + each.near[1] for each in found) / total}
+    return {
+        "fleet": name,
+        "nodes": len(all_),
+        "brokers a node": total / len(all_),
+        "least": min(all_),
+        "greatest": max(all_),
+        "in a shard": max(shard),
+        "in a zone": max(zone),
+        "zones of 4, of 5": " ".join(f"{each:.3f}" for each in by_zone_size(found)),
+        "zones' means": f"{min(spread):.2f} to {max(spread):.2f}",
+        "load": max(loads),
+        "own zone": sum(each.near[0] for each in found) / total,
+        "own region": sum(each.near[0] + each.near[1] for each in found) / total,
+    }
 
 
 def fleets(quick: bool) -> dict[str, Fleet]:
     made = {f"{brokers:,} brokers": replace(FULL, brokers=brokers) for brokers in (30, 200, 2000)}
     made |= {f"near {near:g}": replace(FULL, near=near) for near in (1.0, 2.0, 4.0)}
     made |= {f"size {size}": replace(FULL, size=size) for size in (2, 3, 6, 8)}
-    made |= {f"holders {holders:g}, 2,000 brokers": replace(FULL, holders=holders, brokers=2000)
-             for holders in (64.0, 128.0, 512.0)}
-    made |= {"nodes of 1 and 4, near 2": replace(FULL, sizes=(1.0, 4.0), near=2.0),
-             "nodes of 1 and 2": replace(FULL, sizes=(1.0, 2.0)), "nodes of 1 and 4": replace(FULL, sizes=(1.0, 4.0)),
-             "twice the brokers in a region's zones": replace(FULL, crowd=2),
-             "twice, near 2": replace(FULL, crowd=2, near=2.0),
-             "four times": replace(FULL, crowd=4), "four times, near 2": replace(FULL, crowd=4, near=2.0)}
+    made |= {
+        f"holders {holders:g}, 2,000 brokers": replace(FULL, holders=holders, brokers=2000)
+        for holders in (64.0, 128.0, 512.0)
+    }
+    made |= {
+        "nodes of 1 and 4, near 2": replace(FULL, sizes=(1.0, 4.0), near=2.0),
+        "nodes of 1 and 2": replace(FULL, sizes=(1.0, 2.0)),
+        "nodes of 1 and 4": replace(FULL, sizes=(1.0, 4.0)),
+        "twice the brokers in a region's zones": replace(FULL, crowd=2),
+        "twice, near 2": replace(FULL, crowd=2, near=2.0),
+        "four times": replace(FULL, crowd=4),
+        "four times, near 2": replace(FULL, crowd=4, near=2.0),
+    }
     return {"6,600 brokers": FULL} | ({} if quick else made)
 
 
@@ -110,11 +128,20 @@
     for name in found[0].changes:
         count = sum(each.changes[name] for each in found)
         of_all = 100 * count / total / (fleet.cells if name in OF_ONE_CELL else 1)
-        rows.append({"trouble": name, "entries changed, of 100 of all brokers": of_all,
-                     "in a cell, over all brokers": count / len(found)})
+        rows.append(
+            {
+                "trouble": name,
+                "entries changed, of 100 of all brokers": of_all,
+                "in a cell, over all brokers": count / len(found),
+            }
+        )
     loads = [load for each in found for load in each.survivors]
-    rows.append({"trouble": "greatest load of a lost zone's survivors, against their mean", "": max(against(
-        loads, [1.0] * len(loads)))})
+    rows.append(
+        {
+            "trouble": "greatest load of a lost zone's survivors, against their mean",
+            "": max(against(loads, [1.0] * len(loads))),
+        }
+    )
     return rows
 
 
@@ -127,12 +154,16 @@
 def one_less(name: str, way: Way, full: list[frozenset[str]], names: list[str]) -> float:
     """One from the middle goes; where brokers are numbered, those after it move down."""
     brokers, middle = len(full), len(full) // 2
-    ids = range(brokers - 1) if name in NUMBERED else [each for each in range(brokers) if each != middle]
+    ids = (
+        range(brokers - 1)
+        if name in NUMBERED
+        else [each for each in range(brokers) if each != middle]
+    )
     if way is bounded_loads:
         after = assigned(tuple(ids), tuple(names), FULL.size)
     else:
         after = [way(each, brokers - 1, names, FULL.size) for each in ids]
-    return difference(full[:middle] + full[middle + 1:], after)
+    return difference(full[:middle] + full[middle + 1 :], after)
 
 
 def weigh(name: str, way: Way, brokers: int, shards: int) -> dict[str, Any]:
@@ -147,10 +178,18 @@
         used += sum(counts.values())
         less.append(one_less(name, way, full, names))
         for lists, list_ in ((gone, names[:30] + names[31:]), (other, names[7:] + names[:7])):
-            lists.append(difference(full, [way(each, brokers, list_, FULL.size) for each in range(brokers)]))
-    return {"way": name, "brokers a node": used / len(ratios), "least": min(ratios), "greatest": max(ratios),
-            "a broker less": float(np.mean(less)), "a node less": float(np.mean(gone)),
-            "the list in another order": float(np.mean(other))}
+            lists.append(
+                difference(full, [way(each, brokers, list_, FULL.size) for each in range(brokers)])
+            )
+    return {
+        "way": name,
+        "brokers a node": used / len(ratios),
+        "least": min(ratios),
+        "greatest": max(ratios),
+        "a broker less": float(np.mean(less)),
+        "a node less": float(np.mean(gone)),
+        "the list in another order": float(np.mean(other)),
+    }
 
 
 def ways(pool: Executor, quick: bool) -> Table:
@@ -164,12 +203,18 @@
     click.echo("| " + " | ".join(heads) + " |\n|" + " --- |" * len(heads))
     for row in rows:
         cells = (row.get(head, "") for head in heads)
-        click.echo("| " + " | ".join(f"{each:.3f}" if isinstance(each, float) else str(each) for each in cells) + " |")
+        click.echo(
+            "| "
+            + " | ".join(f"{each:.3f}" if isinstance(each, float) else str(each) for each in cells)
+            + " |"
+        )
 
 
 @click.command()
 @click.option("--cells", default=29, show_default=True, help="Cells played for each kind of fleet.")
-@click.option("--quick", is_flag=True, help="The defaults in two cells; fewer brokers for other ways.")
+@click.option(
+    "--quick", is_flag=True, help="The defaults in two cells; fewer brokers for other ways."
+)
 @click.option("--only", default="", help="Kinds of fleet whose name has this in it; nothing else.")
 @click.option("--jobs", default=os.cpu_count() or 1, show_default=True, help="Processes.")
 @click.option("--json", "file", type=click.Path(path_type=Path), help="Write the tables there too.")
@@ -177,9 +222,11 @@
     cells, began, found = 2 if quick else cells, time.monotonic(), {}
     with ProcessPoolExecutor(jobs) as pool:
         kinds = {name: fleet for name, fleet in fleets(quick).items() if only in name}
-        found["Balance"] = [balance(pool, name, fleet, cells)
-                            for name, fleet in kinds.items()]
-        show("Balance: brokers a node against the mean, or against the share of capacity", found["Balance"])
+        found["Balance"] = [balance(pool, name, fleet, cells) for name, fleet in kinds.items()]
+        show(
+            "Balance: brokers a node against the mean, or against the share of capacity",
+            found["Balance"],
+        )
         if not only:
             played = list(pool.map(partial(troubles, FULL), sampled(FULL, 2 if quick else 8)))
             found["Changes"] = changes(played, FULL)
--- a/bench/zone_cost.py
+++ b/bench/zone_cost.py
@@ -33,9 +33,13 @@
 def run(boxes: int, brokers: int, queries: int, state: State | None, seed: int) -> float:
     """CPU seconds a part. `state`: of zone c; None: without the rules."""
     given, rng = settings(boxes, brokers), random.Random(seed)
-    entries = tuple(api.ServerEntry(f"b{each}", ZONES[each % 3], each % given.cells, api.ServerState.LIVE)
-                    for each in range(boxes))
-    zones = Zones(ZoneSettings("a", prefer_near=False), *COLD, 1.0, seed) if state is not None else None
+    entries = tuple(
+        api.ServerEntry(f"b{each}", ZONES[each % 3], each % given.cells, api.ServerState.LIVE)
+        for each in range(boxes)
+    )
+    zones = (
+        Zones(ZoneSettings("a", prefer_near=False), *COLD, 1.0, seed) if state is not None else None
+    )
     module, now = Aggregator(given, seed, zones.narrow if zones else None), 100.0
     module.handle(now, [api.ListReceived(api.ListKind.FULL, entries)])
     if zones is not None:
@@ -46,8 +50,10 @@
         nonlocal now, spent
         now += rng.expovariate(RATE)
         events: list[Any] = [api.QueryArrived(number, number, "search", now + 3.0)]
-        events += [api.PartArrived(number + 1 + each, number, rng.randrange(given.cells), 1 / PARTS)
-                   for each in range(PARTS)]
+        events += [
+            api.PartArrived(number + 1 + each, number, rng.randrange(given.cells), 1 / PARTS)
+            for each in range(PARTS)
+        ]
         begun = time.process_time()
         if zones is not None:
             zones.admit(now, 1.0, PARTS, False)
@@ -60,8 +66,13 @@
         if zones is not None:
             for each in sends:
                 zones.ended(now, each.server, api.Outcome.SERVED, 0.002)
-        module.handle(now, [api.AttemptEnded(each.part_id, 0, each.server, api.Outcome.SERVED, 0.002)
-                            for each in sends])
+        module.handle(
+            now,
+            [
+                api.AttemptEnded(each.part_id, 0, each.server, api.Outcome.SERVED, 0.002)
+                for each in sends
+            ],
+        )
         module.handle(now, [api.QueryGone(number)])
         if measured:
             spent += time.process_time() - begun
@@ -87,8 +98,12 @@
 @click.option("--queries", default=2000, show_default=True)
 @click.option("--runs", default=5, show_default=True)
 def main(boxes: int, brokers: int, queries: int, runs: int) -> None:
-    cases: dict[str, State | None] = {"module alone": None, "all sound": State.SOUND, "one dark": State.DARK,
-                                      "one returning": State.RETURNING}
+    cases: dict[str, State | None] = {
+        "module alone": None,
+        "all sound": State.SOUND,
+        "one dark": State.DARK,
+        "one returning": State.RETURNING,
+    }
     took: dict[str, list[float]] = {name: [] for name in cases}
     for seed in range(runs):
         for name, state in cases.items():
@@ -97,8 +112,10 @@
     say: Callable[[str], None] = click.echo
     for name, times in took.items():
         median = statistics.median(times)
-        say(f"{name:<14} {1e6 * median:6.1f} us a part ({1e6 * min(times):.1f} to {1e6 * max(times):.1f}), "
-            f"{median / alone - 1:+.0%}")
+        say(
+            f"{name:<14} {1e6 * median:6.1f} us a part ({1e6 * min(times):.1f} to {1e6 * max(times):.1f}), "
+            f"{median / alone - 1:+.0%}"
+        )
 
 
 if __name__ == "__main__":
--- a/bench/zone_loss.py
+++ b/bench/zone_loss.py
@@ -33,16 +33,34 @@
 BASELINES = Path(__file__).parent / "baselines.py"
 
 
-def run(folder: Path, seed: int, rate: float, work_ms: float, variant: str, loss: str) -> tuple[dict[str, Any], bool]:
-    script = Script(SECONDS, rate, (Step(LOSS, loss, 1000, GONE, zone="b"),
-                                    Step(LOSS, "impatient", 1, SECONDS - LOSS)))
+def run(
+    folder: Path, seed: int, rate: float, work_ms: float, variant: str, loss: str
+) -> tuple[dict[str, Any], bool]:
+    script = Script(
+        SECONDS,
+        rate,
+        (Step(LOSS, loss, 1000, GONE, zone="b"), Step(LOSS, "impatient", 1, SECONDS - LOSS)),
+    )
     program = ("-m", "stepknot") if variant in ("zones", "none") else (str(BASELINES), variant)
     for attempt in (1, 2):
         try:
-            run_day(folder, script, 3, 8, 3000, seed, lambda text: None, cold_time=COLD, work_ms=work_ms,
-                    program=program, zones="false" if variant == "none" else "true")
+            run_day(
+                folder,
+                script,
+                3,
+                8,
+                3000,
+                seed,
+                lambda text: None,
+                cold_time=COLD,
+                work_ms=work_ms,
+                program=program,
+                zones="false" if variant == "none" else "true",
+            )
             break
-        except RuntimeError:  # a port that was free a moment ago was taken by another day: nothing has happened yet
+        except (
+            RuntimeError
+        ):  # a port that was free a moment ago was taken by another day: nothing has happened yet
             if attempt == 2:
                 raise
     records = Records.load(folder)
@@ -67,7 +85,11 @@
             counts["asked"][second] += 1
         elif event["what"] == "hung_up":
             counts["asked"][second] -= 1
-        elif event["what"] == "answered" and event["status"] in (200, 201) and not event.get("failed_shards"):
+        elif (
+            event["what"] == "answered"
+            and event["status"] in (200, 201)
+            and not event.get("failed_shards")
+        ):
             counts["good"][second] += 1
         elif event["what"] == "answered" and event["status"] == 429:
             counts["refused"][second] += 1
@@ -85,7 +107,9 @@
         up = ups.get(who)
         if up is not None and event["t"] < up["t"] + rules.cold_time:
             age = event["t"] - up["t"]
-            recent[who] = [at for at in recent[who] if at > event["t"] - rules.fall_time] + [event["t"]] * parts
+            recent[who] = [at for at in recent[who] if at > event["t"] - rules.fall_time] + [
+                event["t"]
+            ] * parts
             able = rules.cold_share + (1 - rules.cold_share) * age / rules.cold_time
             load = len(recent[who]) * up["work"] / (able * up["cores"] * rules.fall_time)
             second = int(event["t"] - begun)
@@ -96,30 +120,70 @@
 
 def summary(found: dict[str, Any]) -> dict[str, float]:
     def service(low: float, high: float) -> float:
-        asked = sum(found["asked"][int(low):int(high)])
-        return sum(found["good"][int(low):int(high)]) / max(asked, 1)
+        asked = sum(found["asked"][int(low) : int(high)])
+        return sum(found["good"][int(low) : int(high)]) / max(asked, 1)
 
     before = service(2, LOSS)
-    back = next((second for second in range(int(LOSS + GONE), int(SECONDS) - 2)
-                 if all(found["good"][each] >= 0.95 * before * found["asked"][each]
-                        for each in range(second, second + 3))), int(SECONDS))
-    spill = max(found["parts_a"][int(LOSS):int(LOSS + GONE)]) / max(
-        sum(found["parts_a"][2:int(LOSS)]) / (LOSS - 2), 1e-9)
-    return {"before": before, "lost": service(LOSS, LOSS + GONE), "return": service(LOSS + GONE, LOSS + GONE + COLD),
-            "after": service(LOSS + GONE + COLD, SECONDS - 1), "back_after_s": back - LOSS - GONE,
-            "most_spill": spill, "cold_load": max(found.get("cold_load", [0.0])), "fell": sum(found.get("fell", [0]))}
+    back = next(
+        (
+            second
+            for second in range(int(LOSS + GONE), int(SECONDS) - 2)
+            if all(
+                found["good"][each] >= 0.95 * before * found["asked"][each]
+                for each in range(second, second + 3)
+            )
+        ),
+        int(SECONDS),
+    )
+    spill = max(found["parts_a"][int(LOSS) : int(LOSS + GONE)]) / max(
+        sum(found["parts_a"][2 : int(LOSS)]) / (LOSS - 2), 1e-9
+    )
+    return {
+        "before": before,
+        "lost": service(LOSS, LOSS + GONE),
+        "return": service(LOSS + GONE, LOSS + GONE + COLD),
+        "after": service(LOSS + GONE + COLD, SECONDS - 1),
+        "back_after_s": back - LOSS - GONE,
+        "most_spill": spill,
+        "cold_load": max(found.get("cold_load", [0.0])),
+        "fell": sum(found.get("fell", [0])),
+    }
 
 
 @click.command()
 @click.option("--seeds", default=3, show_default=True)
 @click.option("--rate", default=18.0, show_default=True, help="Queries a second.")
 @click.option("--work-ms", default=25.0, show_default=True, help="Modelled work of a part.")
-@click.option("--loss", default="crash", show_default=True, help="How it is lost: crash, hang, deaf, refuse, slow ...")
-@click.option("--variant", "variants", multiple=True, type=click.Choice(VARIANTS), help="Which; all, if none is named.")
+@click.option(
+    "--loss",
+    default="crash",
+    show_default=True,
+    help="How it is lost: crash, hang, deaf, refuse, slow ...",
+)
+@click.option(
+    "--variant",
+    "variants",
+    multiple=True,
+    type=click.Choice(VARIANTS),
+    help="Which; all, if none is named.",
+)
 @click.option("--jobs", default=1, show_default=True, help="Days at once: each needs about a core.")
-@click.option("--out", type=click.Path(path_type=Path), default=Path("zone-loss"), show_default=True,
-              help="Files OUT.json and OUT.png.")
-def main(seeds: int, rate: float, work_ms: float, loss: str, variants: tuple[str, ...], jobs: int, out: Path) -> None:
+@click.option(
+    "--out",
+    type=click.Path(path_type=Path),
+    default=Path("zone-loss"),
+    show_default=True,
+    help="Files OUT.json and OUT.png.",
+)
+def main(
+    seeds: int,
+    rate: float,
+    work_ms: float,
+    loss: str,
+    variants: tuple[str, ...],
+    jobs: int,
+    out: Path,
+) -> None:
     results: dict[str, list[dict[str, Any]]] = defaultdict(list)
 
     def one(job: tuple[int, str]) -> tuple[int, str, dict[str, Any], dict[str, Any]]:
@@ -132,29 +196,50 @@
     with ThreadPoolExecutor(jobs) as pool:
         for seed, name, found, row in pool.map(one, days):
             results[name].append({"series": found, "summary": row})
-            click.echo(f"seed {seed} {name:<10} " + ", ".join(
-                f"{key} {value:.2f}" if isinstance(value, float) else f"{key} {value}" for key, value in row.items()))
+            click.echo(
+                f"seed {seed} {name:<10} "
+                + ", ".join(
+                    f"{key} {value:.2f}" if isinstance(value, float) else f"{key} {value}"
+                    for key, value in row.items()
+                )
+            )
     for name, found in results.items():
         rows = [each["summary"] for each in found]
-        click.echo(f"{name:<10} of {len(rows)} days: " + ", ".join(
-            f"{key} {statistics.median(each[key] for each in rows):.2f} "
-            f"({min(each[key] for each in rows):.2f} to {max(each[key] for each in rows):.2f})" for key in rows[0]))
+        click.echo(
+            f"{name:<10} of {len(rows)} days: "
+            + ", ".join(
+                f"{key} {statistics.median(each[key] for each in rows):.2f} "
+                f"({min(each[key] for each in rows):.2f} to {max(each[key] for each in rows):.2f})"
+                for key in rows[0]
+            )
+        )
     out.with_suffix(".json").write_bytes(orjson.dumps(results, option=orjson.OPT_INDENT_2))
     plot(results, out.with_suffix(".png"))
 
 
 def plot(results: dict[str, list[dict[str, Any]]], path: Path) -> None:
     figure, axes = plt.subplots(4, 1, figsize=(8, 10), sharex=True)
-    rows = (("service", "answered whole, share"), ("parts_a", "parts a second, zone a"),
-            ("parts_b", "parts a second, zone b"), ("cold_load", "load on a cold box (falls at 4)"))
+    rows = (
+        ("service", "answered whole, share"),
+        ("parts_a", "parts a second, zone a"),
+        ("parts_b", "parts a second, zone b"),
+        ("cold_load", "load on a cold box (falls at 4)"),
+    )
     for number, (name, runs) in enumerate(results.items()):
         for axis, (key, label) in zip(axes, rows, strict=True):
             for place, each in enumerate(runs):
                 found = each["series"]
-                values = found.get(key) or [good / max(asked, 1) for good, asked in zip(found["good"], found["asked"],
-                                                                                       strict=True)]
-                axis.plot(values, color=f"C{number}", alpha=0.7 if len(runs) < 4 else 0.25, linewidth=1,
-                          label=name if not place else None)
+                values = found.get(key) or [
+                    good / max(asked, 1)
+                    for good, asked in zip(found["good"], found["asked"], strict=True)
+                ]
+                axis.plot(
+                    values,
+                    color=f"C{number}",
+                    alpha=0.7 if len(runs) < 4 else 0.25,
+                    linewidth=1,
+                    label=name if not place else None,
+                )
             axis.set_ylabel(label)
             axis.axvspan(LOSS, LOSS + GONE, alpha=0.08, color="black")
     axes[0].legend()
--- a/stepknot/admission/addresses.py
+++ b/stepknot/admission/addresses.py
@@ -7,7 +7,11 @@
 
 from stepknot.admission.model import Address
 
-V4_24, V6_64, V6_56 = b"4", b"6", b"5"  # the first byte of a prefix's key: two kinds never fall together
+V4_24, V6_64, V6_56 = (
+    b"4",
+    b"6",
+    b"5",
+)  # the first byte of a prefix's key: two kinds never fall together
 
 
 def packed(text: str) -> Address:
@@ -48,15 +52,19 @@
         """Raises ValueError."""
         found = network(text)
         bits = found.max_prefixlen - found.prefixlen
-        self.by_length.setdefault((found.max_prefixlen // 8, bits), set()).add(int(found.network_address) >> bits)
+        self.by_length.setdefault((found.max_prefixlen // 8, bits), set()).add(
+            int(found.network_address) >> bits
+        )
 
     def __contains__(self, address: object) -> bool:
         if not self.by_length:
             return False
         assert isinstance(address, bytes)
         number = int.from_bytes(address)
-        return any(width == len(address) and number >> bits in held
-                   for (width, bits), held in self.by_length.items())
+        return any(
+            width == len(address) and number >> bits in held
+            for (width, bits), held in self.by_length.items()
+        )
 
 
 def network(text: str) -> ipaddress.IPv4Network | ipaddress.IPv6Network:
--- a/stepknot/admission/descriptors.py
+++ b/stepknot/admission/descriptors.py
@@ -32,9 +32,13 @@
     """
     left = limit - FIXED - ADMIN
     if left < 3 * LEAST:
-        raise ValueError(f"a descriptor limit of {limit} is too low: at least {FIXED + ADMIN + 3 * LEAST} are needed")
+        raise ValueError(
+            f"a descriptor limit of {limit} is too low: at least {FIXED + ADMIN + 3 * LEAST} are needed"
+        )
     lane = max(min(lane, left // 8), LEAST // 2)
     left -= lane
     boxes = min(boxes_wanted, max(int(left * BOXES_SHARE), LEAST))
     clients = left - boxes
-    return Budgets(limit, FIXED, ADMIN, lane, boxes, min(clients, connections) if connections else clients)
+    return Budgets(
+        limit, FIXED, ADMIN, lane, boxes, min(clients, connections) if connections else clients
+    )
--- a/stepknot/admission/forwarded.py
+++ b/stepknot/admission/forwarded.py
@@ -26,9 +26,9 @@
 
     The address is None for LOCAL and UNKNOWN: the connection speaks for itself. Raises Malformed.
     """
-    if data.startswith(SIGNATURE[:len(data)]) or data.startswith(SIGNATURE):
+    if data.startswith(SIGNATURE[: len(data)]) or data.startswith(SIGNATURE):
         return read_version_2(data)
-    if data.startswith(b"PROXY "[:len(data)]) or data.startswith(b"PROXY "):
+    if data.startswith(b"PROXY "[: len(data)]) or data.startswith(b"PROXY "):
         return read_version_1(data)
     raise Malformed("the connection does not begin with a PROXY header")
 
@@ -46,12 +46,19 @@
         raise Malformed("a PROXY line that is not of its form")
     try:
         source, target = words[2].decode("ascii"), words[3].decode("ascii")
-        ports = [int(word) for word in words[4:] if word.isdigit() and (word == b"0" or word[:1] != b"0")]
+        ports = [
+            int(word) for word in words[4:] if word.isdigit() and (word == b"0" or word[:1] != b"0")
+        ]
         addresses = [packed(source), packed(target)]
     except ValueError:
         raise Malformed("a PROXY line with a malformed address") from None
     colon = words[1] == b"TCP6"
-    if len(ports) != 2 or max(ports) > 65535 or (":" in source) != colon or (":" in target) != colon:
+    if (
+        len(ports) != 2
+        or max(ports) > 65535
+        or (":" in source) != colon
+        or (":" in target) != colon
+    ):
         raise Malformed("a PROXY line with a malformed port or address")
     return addresses[0], end + 2
 
@@ -72,11 +79,13 @@
     width = {1: 4, 2: 16}.get(family, 0)
     if not width or length < 2 * width + 4:
         raise Malformed("a PROXY block whose addresses do not fit its family")
-    return mapped(data[16:16 + width]), 16 + length
+    return mapped(data[16 : 16 + width]), 16 + length
 
 
 def mapped(address: bytes) -> Address:
-    return address[12:] if len(address) == 16 and address[:12] == bytes(10) + b"\xff\xff" else address
+    return (
+        address[12:] if len(address) == 16 and address[:12] == bytes(10) + b"\xff\xff" else address
+    )
 
 
 def client_of(headers: Mapping[str, str], peer: Address, trusted: Networks) -> Address:
@@ -100,9 +109,15 @@
         found = []
         for element in headers["forwarded"].split(",")[-MOST_HOPS:]:
             pairs = (pair.partition("=") for pair in element.split(";"))
-            found.append(next((bare(value) for name, _, value in pairs if name.strip().lower() == "for"), ""))
+            found.append(
+                next((bare(value) for name, _, value in pairs if name.strip().lower() == "for"), "")
+            )
         return found
-    return [bare(each) for each in headers.get("x-forwarded-for", "").split(",")[-MOST_HOPS:] if each.strip()]
+    return [
+        bare(each)
+        for each in headers.get("x-forwarded-for", "").split(",")[-MOST_HOPS:]
+        if each.strip()
+    ]
 
 
 def bare(text: str) -> str:
--- a/stepknot/admission/heavy.py
+++ b/stepknot/admission/heavy.py
@@ -19,8 +19,12 @@
 
     def __init__(self, size: int, memory: float) -> None:
         self.size, self.memory = size, memory
-        self.counts: dict[bytes, list[float]] = {}  # key: count, error; in units of the weight at `since`
-        self.heap: list[tuple[float, bytes]] = []  # counts at some time: entries out of date are passed over
+        self.counts: dict[
+            bytes, list[float]
+        ] = {}  # key: count, error; in units of the weight at `since`
+        self.heap: list[
+            tuple[float, bytes]
+        ] = []  # counts at some time: entries out of date are passed over
         self.since, self.latest = 0.0, 0.0
         self.begun = False
 
--- a/stepknot/admission/lists.py
+++ b/stepknot/admission/lists.py
@@ -62,7 +62,9 @@
     # --- on disk
 
     def dump(self) -> bytes:
-        body = json.dumps({"version": 1, "banned": self.banned, "allowed": self.allowed}, sort_keys=True)
+        body = json.dumps(
+            {"version": 1, "banned": self.banned, "allowed": self.allowed}, sort_keys=True
+        )
         return f"{hashlib.sha256(body.encode()).hexdigest()}\n{body}\n".encode()
 
     @classmethod
--- a/stepknot/admission/policy.py
+++ b/stepknot/admission/policy.py
@@ -96,7 +96,9 @@
 
     queries: int = 0
     bytes: int = 0
-    idle: OrderedDict[int, None] = field(default_factory=OrderedDict)  # connections, the idlest first
+    idle: OrderedDict[int, None] = field(
+        default_factory=OrderedDict
+    )  # connections, the idlest first
 
 
 class Admission:
@@ -136,7 +138,10 @@
     def limit(self, rank: Rank) -> int:
         """Seats for clients of this rank and below."""
         reserve = math.ceil(self.seats * self.settings.reserve)
-        return self.seats - {Rank.UNKNOWN: reserve, Rank.CONDUCT: reserve - reserve // 2, Rank.LISTED: 0}[rank]
+        return (
+            self.seats
+            - {Rank.UNKNOWN: reserve, Rank.CONDUCT: reserve - reserve // 2, Rank.LISTED: 0}[rank]
+        )
 
     def up_to(self, counts: Counter[Rank], rank: Rank) -> int:
         if rank is Rank.LISTED:
@@ -153,8 +158,12 @@
             return self.to_lane(now, guest, Reason.BANNED, SOON)
         rate, cap = self.rates.rate(now, address), self.settings.rate * self.factor(rank)
         if rate > cap:
-            return self.to_lane(now, guest, Reason.RATE, self.settings.memory * math.log(rate / cap))
-        self.rates.add(now, address)  # what was refused for its rate does not count: when a flood ends, so does this
+            return self.to_lane(
+                now, guest, Reason.RATE, self.settings.memory * math.log(rate / cap)
+            )
+        self.rates.add(
+            now, address
+        )  # what was refused for its rate does not count: when a flood ends, so does this
         return self.seat(now, guest)
 
     def welcome(self, now: float, number: int, address: Address) -> Verdict:
@@ -195,14 +204,20 @@
             return Reason.ADDRESS
         if guest.key:
             return None
-        caps = (settings.per_v4_24,) if len(guest.address) == 4 else (settings.per_v6_64, settings.per_v6_56)
+        caps = (
+            (settings.per_v4_24,)
+            if len(guest.address) == 4
+            else (settings.per_v6_64, settings.per_v6_56)
+        )
         for prefix, cap in zip(prefixes(guest.address), caps, strict=True):
             if self.prefixed[prefix] >= cap * factor:
                 return Reason.PREFIX
         return None
 
     def has_room(self, rank: Rank) -> bool:
-        return all(self.up_to(self.ranked, each) < self.limit(each) for each in Rank if each >= rank)
+        return all(
+            self.up_to(self.ranked, each) < self.limit(each) for each in Rank if each >= rank
+        )
 
     def victim(self, guest: Guest) -> int | None:
         """An idle connection to make room: of somebody less known, or as well known with two seats more."""
@@ -214,7 +229,8 @@
             for number in use.idle if use is not None else ():
                 rank = self.guests[number].rank
                 if rank < guest.rank or (
-                        rank is guest.rank and self.seated.held[address] >= own + 2):
+                    rank is guest.rank and self.seated.held[address] >= own + 2
+                ):
                     return number
                 break  # its idlest stands for all of it
         return None
@@ -314,8 +330,13 @@
 
     def tidy(self, address: Address) -> None:
         use = self.uses.get(address)
-        if use is not None and not use.queries and not use.bytes and not use.idle and (
-                not self.seated.held[address]):
+        if (
+            use is not None
+            and not use.queries
+            and not use.bytes
+            and not use.idle
+            and (not self.seated.held[address])
+        ):
             del self.uses[address]
 
     def rest(self, guest: Guest) -> None:
@@ -347,7 +368,9 @@
 
     # --- queries
 
-    def ask(self, now: float, number: int, address: Address, tenant: str, share: float, level: int) -> Turn | Verdict:
+    def ask(
+        self, now: float, number: int, address: Address, tenant: str, share: float, level: int
+    ) -> Turn | Verdict:
         """A query: a turn for it, to be handed back to `answered` once, or why not.
 
         `share`: of the turns, that its tenant may have (0: any); `level`: how many classes are worth more. An address
@@ -356,13 +379,18 @@
         """
         settings, guest = self.settings, self.guests[number]
         rank = max(guest.rank, self.rank_of(now, address))
-        open_to = settings.held if rank is not Rank.UNKNOWN else settings.held - math.ceil(
-            settings.held * settings.reserve)
+        open_to = (
+            settings.held
+            if rank is not Rank.UNKNOWN
+            else settings.held - math.ceil(settings.held * settings.reserve)
+        )
         free = settings.held * (1 - LEVEL * level) - self.up_to(self.turns, Rank.LISTED)
         if rank is Rank.UNKNOWN:
             free = min(free, open_to - self.turns[Rank.UNKNOWN])
         own = self.uses[address].queries if address in self.uses else 0
-        tenant_cap = settings.tenant_queries or (math.ceil(share * settings.held) if share else settings.held)
+        tenant_cap = settings.tenant_queries or (
+            math.ceil(share * settings.held) if share else settings.held
+        )
         reason = None
         if free < 1:
             reason = Reason.HELD
--- a/stepknot/benchlink.py
+++ b/stepknot/benchlink.py
@@ -238,7 +238,9 @@
             try:
                 settings = parse_settings(fields["profile-data"])
             except (KeyError, ValueError, TypeError, IndexError, AttributeError) as error:
-                raise WireError(f"setting missing or malformed: {type(error).__name__}: {error}") from error
+                raise WireError(
+                    f"setting missing or malformed: {type(error).__name__}: {error}"
+                ) from error
             self.aggregators[fields["i"]] = Aggregator(settings, fields["prng"])
             pending[fields["i"]] = []
         elif name == "CRASH_NOW":
--- a/stepknot/boxes/codec.py
+++ b/stepknot/boxes/codec.py
@@ -19,8 +19,14 @@
 
 LOAD_HEADER = "endpoint-load-metrics"
 NAMED = "named_metrics."
-LOAD_NAMES = {"queue": "queue", "inflight": "inflight", "latency_ms": "latency_ms", "qps": "qps",
-              "cpu_utilization": "util", "rps": "qps"}
+LOAD_NAMES = {
+    "queue": "queue",
+    "inflight": "inflight",
+    "latency_ms": "latency_ms",
+    "qps": "qps",
+    "cpu_utilization": "util",
+    "rps": "qps",
+}
 MOST_LOAD_HEADER = 1024
 
 
@@ -98,9 +104,11 @@
         return f"HEAD / HTTP/1.1\r\nhost: {host}\r\nuser-agent: {self.agent}\r\n\r\n".encode()
 
     def post(self, path: str, host: str, body: bytes, opaque: str) -> bytes:
-        head = (f"POST {path} HTTP/1.1\r\nhost: {host}\r\nuser-agent: {self.agent}\r\n"
-                f"content-type: application/x-ndjson\r\nx-opaque-id: {opaque}\r\n"
-                f"content-length: {len(body)}\r\n\r\n")
+        head = (
+            f"POST {path} HTTP/1.1\r\nhost: {host}\r\nuser-agent: {self.agent}\r\n"
+            f"content-type: application/x-ndjson\r\nx-opaque-id: {opaque}\r\n"
+            f"content-length: {len(body)}\r\n\r\n"
+        )
         return head.encode() + body
 
     def load(self, headers: dict[str, str]) -> dict[str, float]:
@@ -142,7 +150,11 @@
             return PartReply(Outcome.REJECTED, reason="box says it is full")
         if status != 200 or "error" in response:
             return PartReply(Outcome.ERROR, reason=reason_of(response))
-        if response["timed_out"] or response["_shards"]["failed"] or not response["_shards"]["successful"]:
+        if (
+            response["timed_out"]
+            or response["_shards"]["failed"]
+            or not response["_shards"]["successful"]
+        ):
             return PartReply(Outcome.ERROR, reason="box answered without the shard")
         return PartReply(Outcome.SERVED, response)
 
@@ -168,4 +180,3 @@
     error = response.get("error")
     text = error.get("reason", "") if isinstance(error, dict) else str(error)
     return str(text)[:200]
-
--- a/stepknot/boxes/pool.py
+++ b/stepknot/boxes/pool.py
@@ -30,7 +30,9 @@
 class Exchange:
     """One call on its way. `on_end` is called once: with a reply's parser, or None and how it ended."""
 
-    data: bytes | Callable[[], bytes]  # made, where it is, once the connection is up: as late as can be
+    data: (
+        bytes | Callable[[], bytes]
+    )  # made, where it is, once the connection is up: as late as can be
     on_end: Callable[[ClientParser | None, Outcome, str], None]
     link: Link | None = None
     ended: bool = False
@@ -55,7 +57,9 @@
 
     host: str
     port: int
-    idle: deque[tuple[Link, float]] = field(default_factory=deque)  # and since when; the freshest is used first
+    idle: deque[tuple[Link, float]] = field(
+        default_factory=deque
+    )  # and since when; the freshest is used first
     open: int = 0
     coming: set[Exchange] = field(default_factory=set)  # those whose connection is not up yet
 
@@ -67,8 +71,15 @@
 class Pool:
     """All boxes' connections: `most` for each box at the most, kept idle for `idle` seconds."""
 
-    def __init__(self, loop: Loop, most: int, connect_timeout: float, idle: float, reply: int,
-                 in_all: int = 1_000_000) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        most: int,
+        connect_timeout: float,
+        idle: float,
+        reply: int,
+        in_all: int = 1_000_000,
+    ) -> None:
         self.loop, self.most, self.connect_timeout = loop, most, connect_timeout
         self.idle, self.reply = idle, reply
         self.boxes: dict[str, Box] = {}
@@ -97,7 +108,11 @@
                     return
                 if self.open >= self.in_all and not self.evict_idle():
                     self.capped += 1
-                    exchange.end(None, Outcome.NOT_CONNECTED, f"all {self.in_all} connections to boxes are in use")
+                    exchange.end(
+                        None,
+                        Outcome.NOT_CONNECTED,
+                        f"all {self.in_all} connections to boxes are in use",
+                    )
                     return
                 box.open += 1
                 self.open += 1
@@ -117,7 +132,9 @@
                 keep = True
                 return
             exchange.link = link
-            yield from link.send(exchange.data if isinstance(exchange.data, bytes) else exchange.data())
+            yield from link.send(
+                exchange.data if isinstance(exchange.data, bytes) else exchange.data()
+            )
             handed_over = True
             while not parser.done:
                 data = yield from link.recv(CHUNK)
--- a/stepknot/boxes/rest.py
+++ b/stepknot/boxes/rest.py
@@ -24,8 +24,14 @@
 
 
 class RestBoxes:
-    def __init__(self, loop: Loop, pool: Pool, codec: Codec, parts_per_call: int,
-                 on_event: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        pool: Pool,
+        codec: Codec,
+        parts_per_call: int,
+        on_event: Callable[..., None],
+    ) -> None:
         self.loop, self.pool, self.codec = loop, pool, codec
         self.parts_per_call, self.on_event = parts_per_call, on_event
         self.on_reply: OnReply = nobody
@@ -34,14 +40,19 @@
         shared = [each for each in attempts if self.codec.shares_call(each.request)]
         alone = [each for each in attempts if not self.codec.shares_call(each.request)]
         size = self.parts_per_call
-        groups = [shared[place:place + size] for place in range(0, len(shared), size)] + [[each] for each in alone]
+        groups = [shared[place : place + size] for place in range(0, len(shared), size)] + [
+            [each] for each in alone
+        ]
         for group in groups:
             call = Call(group, len(group))
             for attempt in group:
                 attempt.call = call
             name = group[0].name
-            call.exchange = Exchange(partial(self.encode, server, call), partial(self.on_end, call),
-                                     not_after=min(each.not_after for each in group))
+            call.exchange = Exchange(
+                partial(self.encode, server, call),
+                partial(self.on_end, call),
+                not_after=min(each.not_after for each in group),
+            )
             self.on_event("call_sent", box=server, query=name, parts=len(group))
             self.pool.start(server, call.exchange)
         return len(groups)
@@ -49,10 +60,15 @@
     def encode(self, server: str, call: Call) -> bytes:
         """A call goes without the parts that were given up while its connection came up."""
         call.attempts = [each for each in call.attempts if each.call is call]
-        return self.codec.encode([each.request for each in call.attempts], self.pool.box(server).name,
-                                 call.attempts[0].name)
-
-    def on_end(self, call: Call, parser: ClientParser | None, outcome: Outcome, reason: str) -> None:
+        return self.codec.encode(
+            [each.request for each in call.attempts],
+            self.pool.box(server).name,
+            call.attempts[0].name,
+        )
+
+    def on_end(
+        self, call: Call, parser: ClientParser | None, outcome: Outcome, reason: str
+    ) -> None:
         """A call ended: each attempt for which somebody still waits ends with its own outcome."""
         load: Load = {}
         attempts, call.attempts, call.exchange = call.attempts, [], None  # no ring is left behind
--- a/stepknot/boxes/side.py
+++ b/stepknot/boxes/side.py
@@ -21,7 +21,9 @@
     name: str  # of its query, in logs and at boxes
     wait: float  # seconds for which somebody waits
     call: Any = None  # the one in which it travels, in the side's own terms; none: over
-    not_after: float = math.inf  # by the loop's clock: not written whole by then, it is never written
+    not_after: float = (
+        math.inf
+    )  # by the loop's clock: not written whole by then, it is never written
 
 
 OnReply = Callable[[Any, PartReply, Load], None]
--- a/stepknot/broker/core.py
+++ b/stepknot/broker/core.py
@@ -24,10 +24,15 @@
 from stepknot.zones.policy import Zones
 from stepknot.zones.spill import Rate
 
-Accept = Callable[[Any], Any]  # what a part's payload is read by; raises ValueError where it is not an answer
+Accept = Callable[
+    [Any], Any
+]  # what a part's payload is read by; raises ValueError where it is not an answer
 
 
-TENANT_MEMORY, TENANT_ROOM = 5.0, 1.1  # seconds over which a tenant's traffic is seen; over its share by a tenth
+TENANT_MEMORY, TENANT_ROOM = (
+    5.0,
+    1.1,
+)  # seconds over which a tenant's traffic is seen; over its share by a tenth
 
 
 ENDED = {outcome: f"ended_{outcome.name.lower()}" for outcome in api.Outcome}
@@ -95,16 +100,29 @@
 
 class Core:
     def __init__(
-        self, loop: Loop, settings: api.Settings, seed: int, boxes: Boxes,
-        on_event: Callable[..., None], most_held: int = 4096, name: str = "", zones: Zones | None = None,
-        promised: dict[str, float] | None = None, most_open: float = math.inf,
+        self,
+        loop: Loop,
+        settings: api.Settings,
+        seed: int,
+        boxes: Boxes,
+        on_event: Callable[..., None],
+        most_held: int = 4096,
+        name: str = "",
+        zones: Zones | None = None,
+        promised: dict[str, float] | None = None,
+        most_open: float = math.inf,
         watch: Callable[[], None] = lambda: None,
     ) -> None:
         """`most_held` bounds queries, `most_open` queries and parts together. `watch` asks for the list's changes; a
         source that tells them of itself needs none."""
         self.loop, self.settings, self.boxes, self.watch = loop, settings, boxes, watch
         boxes.on_reply = self.take_reply
-        self.on_event, self.most_held, self.most_open, self.name = on_event, most_held, most_open, name
+        self.on_event, self.most_held, self.most_open, self.name = (
+            on_event,
+            most_held,
+            most_open,
+            name,
+        )
         self.zones, self.promised = zones, promised or {}
         self.module = Aggregator(settings, seed, zones.narrow if zones is not None else None)
         self.decide: Callable[[float, list[api.Event]], list[api.Action]] = self.module.handle
@@ -119,7 +137,9 @@
         self.expiries: dict[float, list[Attempt]] = {}  # by the moment when their waits end
         self.counts: Counter[str] = Counter()
         self.class_counts: Counter[tuple[str, str]] = Counter()
-        self.tenant_counts: Counter[tuple[str, str]] = Counter()  # of those in the settings, the rest together
+        self.tenant_counts: Counter[tuple[str, str]] = (
+            Counter()
+        )  # of those in the settings, the rest together
         self.tenant_rates: dict[str, Rate] = {}
         self.decide_time = 0.0
         loop.turn_hooks.append(self.turn)
@@ -139,26 +159,50 @@
         self.last_id += 1
         ask.query_id, ask.arrived = self.last_id, self.loop.now
         still = len(self.held) + len(self.parts) + 1 + len(ask.first)
-        if len(self.held) >= self.most_held or still > self.most_open:  # memory comes before all else
+        if (
+            len(self.held) >= self.most_held or still > self.most_open
+        ):  # memory comes before all else
             self.counts["over_bound"] += 1
             limits = self.settings.limits
-            ask.done.set(Result(Status.REFUSED, retry_after=limits.max_retry_after if limits.retry_after else 0.0))
+            ask.done.set(
+                Result(
+                    Status.REFUSED,
+                    retry_after=limits.max_retry_after if limits.retry_after else 0.0,
+                )
+            )
             return
         if self.zones is not None:
             worth = self.settings.classes[ask.class_name].worth / max(len(ask.first), 1)
-            advice = self.zones.admit(self.loop.now, worth, len(ask.first), self.over_share(ask.tenant))
+            advice = self.zones.admit(
+                self.loop.now, worth, len(ask.first), self.over_share(ask.tenant)
+            )
             if advice is not None:
                 self.counts["shed"] += 1
                 self.class_counts[ask.class_name, "shed"] += 1
                 limits = self.settings.limits
-                ask.done.set(Result(Status.REFUSED, False, min(advice, limits.max_retry_after)
-                                    if limits.retry_after else 0.0))
+                ask.done.set(
+                    Result(
+                        Status.REFUSED,
+                        False,
+                        min(advice, limits.max_retry_after) if limits.retry_after else 0.0,
+                    )
+                )
                 return
         self.held[ask.query_id] = ask
         self.counts["queries"] += 1
         self.class_counts[ask.class_name, "taken"] += 1
-        self.post(api.QueryArrived(ask.query_id, ask.query_id, ask.class_name, ask.deadline, ask.tenant, ask.key,
-                                   ask.effort, ask.retry))
+        self.post(
+            api.QueryArrived(
+                ask.query_id,
+                ask.query_id,
+                ask.class_name,
+                ask.deadline,
+                ask.tenant,
+                ask.key,
+                ask.effort,
+                ask.retry,
+            )
+        )
         self.add_parts(ask, ask.first)
 
     def over_share(self, tenant: str) -> bool:
@@ -178,7 +222,9 @@
             self.last_id += 1
             part.part_id = self.last_id
             self.parts[part.part_id] = (ask, part)
-            self.post(api.PartArrived(part.part_id, ask.query_id, part.shard, part.weight, part.effort))
+            self.post(
+                api.PartArrived(part.part_id, ask.query_id, part.shard, part.weight, part.effort)
+            )
         self.counts["parts"] += len(parts)
 
     def gone(self, ask: Ask) -> None:
@@ -200,7 +246,13 @@
                 self.servers[entry.server] = entry
             if entry.state is not api.ServerState.LIVE:
                 self.boxes.withdraw(entry.server)
-            self.on_event("box_listed", box=entry.server, state=entry.state.value, zone=entry.zone, cell=entry.cell)
+            self.on_event(
+                "box_listed",
+                box=entry.server,
+                state=entry.state.value,
+                zone=entry.zone,
+                cell=entry.cell,
+            )
         if self.zones is not None:
             self.zones.take_list(self.loop.now, self.servers.values())
             self.tell_changes()
@@ -241,7 +293,9 @@
                     if attempt is not None:
                         self.end_attempt(attempt, api.Outcome.CANCELLED, {})
                 case api.Refuse():
-                    self.close_query(action.query_id, Result(Status.REFUSED, False, action.retry_after))
+                    self.close_query(
+                        action.query_id, Result(Status.REFUSED, False, action.retry_after)
+                    )
                 case api.Fail():
                     self.close_query(action.query_id, Result(Status.FAILED))
                 case api.Probe():
@@ -251,7 +305,9 @@
                 case api.Watch():
                     self.watch()
         for server, attempts in sends.items():
-            attempts = [each for each in attempts if self.out.get((each.part.part_id, each.number)) is each]
+            attempts = [
+                each for each in attempts if self.out.get((each.part.part_id, each.number)) is each
+            ]
             self.counts["calls"] += self.boxes.send(server, attempts)
         self.rearm()
 
@@ -274,11 +330,24 @@
 
     def prepare(self, action: api.Send, sends: dict[str, list[Attempt]]) -> None:
         if action.part_id not in self.parts:  # its client went in this very turn
-            self.post(api.AttemptEnded(action.part_id, action.attempt, action.server, api.Outcome.NOT_SENT, 0.0))
+            self.post(
+                api.AttemptEnded(
+                    action.part_id, action.attempt, action.server, api.Outcome.NOT_SENT, 0.0
+                )
+            )
             return
         ask, part = self.parts[action.part_id]
-        attempt = Attempt(part.request, ask.name, action.timeout, not_after=action.not_after, part=part, ask=ask,
-                          number=action.attempt, server=action.server, sent=self.loop.now)
+        attempt = Attempt(
+            part.request,
+            ask.name,
+            action.timeout,
+            not_after=action.not_after,
+            part=part,
+            ask=ask,
+            number=action.attempt,
+            server=action.server,
+            sent=self.loop.now,
+        )
         part.attempts += 1
         part.reason = "no answer in time"
         self.counts["attempts"] += 1
@@ -320,16 +389,31 @@
                 self.tell_changes()
         if attempt.call is not None:
             self.boxes.cancel(attempt)
-        self.post(api.AttemptEnded(part.part_id, attempt.number, attempt.server, outcome,
-                                   now - attempt.sent, False, load))
+        self.post(
+            api.AttemptEnded(
+                part.part_id,
+                attempt.number,
+                attempt.server,
+                outcome,
+                now - attempt.sent,
+                False,
+                load,
+            )
+        )
 
     def tell_changes(self) -> None:
         """A structured event for each zone that changed its state, with the evidence."""
         if self.zones is not None and self.zones.changes:
             for change in self.zones.take_changes():
                 self.counts["zone_changes"] += 1
-                self.on_event("zone_changed", zone=change.zone, old=change.old.value, new=change.new.value,
-                              why=change.why, **change.evidence)
+                self.on_event(
+                    "zone_changed",
+                    zone=change.zone,
+                    old=change.old.value,
+                    new=change.new.value,
+                    why=change.why,
+                    **change.evidence,
+                )
 
     def probe(self, server: str) -> None:
         begun = self.loop.now
@@ -337,7 +421,9 @@
 
         def end(outcome: api.Outcome, load: Load) -> None:
             if self.zones is not None:
-                self.zones.probed(self.loop.now, server, self.loop.now - begun, outcome is api.Outcome.SERVED)
+                self.zones.probed(
+                    self.loop.now, server, self.loop.now - begun, outcome is api.Outcome.SERVED
+                )
             self.post(api.ProbeEnded(server, outcome, self.loop.now - begun, load))
 
         self.boxes.probe(server, end)
@@ -355,7 +441,9 @@
             if ask.fetch:
                 self.add_parts(ask, ask.fetch)
                 return
-            self.post(api.QueryGone(ask.query_id))  # nothing is to be fetched: the answer is complete
+            self.post(
+                api.QueryGone(ask.query_id)
+            )  # nothing is to be fetched: the answer is complete
         self.finish(ask, Result(Status.ANSWERED, action.whole))
 
     def close_query(self, query_id: int, result: Result) -> None:
@@ -381,6 +469,14 @@
             self.counts["partial"] += 1
         took = self.loop.now - ask.arrived
         served = sum(part.served for part in ask.first)
-        self.on_event("query_ended", query=ask.name, query_class=ask.class_name, ending=ending, took=round(took, 6),
-                      parts=len(ask.first), served=served, whole=bool(result and result.whole))
+        self.on_event(
+            "query_ended",
+            query=ask.name,
+            query_class=ask.class_name,
+            ending=ending,
+            took=round(took, 6),
+            parts=len(ask.first),
+            served=served,
+            whole=bool(result and result.whole),
+        )
         ask.done.set(result)
--- a/stepknot/broker/gate.py
+++ b/stepknot/broker/gate.py
@@ -32,7 +32,9 @@
 SCHEME = "apikey "
 AUTHORIZATION = re.compile(rb"authorization", re.IGNORECASE)
 Refuse = Callable[[str, float], Response]  # a front's refusal: why, and when to return
-Level = Callable[[Request], tuple[int, str]]  # how many classes are worth more, and whose tenant it is
+Level = Callable[
+    [Request], tuple[int, str]
+]  # how many classes are worth more, and whose tenant it is
 
 
 class Waiting:
@@ -40,7 +42,9 @@
 
     __slots__ = ("gate", "server", "link", "peer", "number", "data", "since", "answered", "left")
 
-    def __init__(self, gate: Gate, server: Server, link: Link, peer: tuple[Any, ...], number: int) -> None:
+    def __init__(
+        self, gate: Gate, server: Server, link: Link, peer: tuple[Any, ...], number: int
+    ) -> None:
         self.gate, self.server, self.link, self.peer, self.number = gate, server, link, peer, number
         self.data, self.since = b"", gate.loop.now
         self.answered, self.left = False, 0  # bytes of the body still to be read off
@@ -110,14 +114,26 @@
 class Gate:
     """One for all fronts of a broker. `wall` is the clock that bans end by."""
 
-    def __init__(self, loop: Loop, settings: AdmissionSettings, budgets: Budgets, lists: Lists,
-                 log: Callable[..., None], shares: dict[str, float], wall: Callable[[], float]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        settings: AdmissionSettings,
+        budgets: Budgets,
+        lists: Lists,
+        log: Callable[..., None],
+        shares: dict[str, float],
+        wall: Callable[[], float],
+    ) -> None:
         self.loop, self.settings, self.budgets, self.log = loop, settings, budgets, log
         self.shares, self.wall = shares, wall
         self.admission = Admission(settings, budgets.clients, lists)
         self.trusted = Networks(settings.trusted)
         self.last = 0
-        self.arrived: tuple[int, Verdict, bytes] = (0, Verdict(Place.OUT), b"")  # what was screened last
+        self.arrived: tuple[int, Verdict, bytes] = (
+            0,
+            Verdict(Place.OUT),
+            b"",
+        )  # what was screened last
         self.addresses: dict[str, Address] = {}
         self.open: dict[int, Connection] = {}
         self.waiting: dict[int, Waiting] = {}  # the oldest first
@@ -133,7 +149,9 @@
         self.fronts[server] = (refuse, level)
         server.gate = self
         handler = server.handler
-        server.handler = lambda request, connection: self.handle(server, handler, request, connection)
+        server.handler = lambda request, connection: self.handle(
+            server, handler, request, connection
+        )
         server.listener.screen = lambda sock, peer: self.screen(server, sock, peer)
         server.listener.on_failed = lambda: self.gone(self.arrived[0])
         server.listener.on_exhausted = lambda sock, peer: self.exhausted(server, sock, peer)
@@ -153,7 +171,9 @@
         request is here already needs no more than a read, a write and a close."""
         self.last += 1
         number, address = self.last, self.address_of(peer)
-        if address in self.trusted:  # a proxy: its clients are judged, when it is known who they are
+        if (
+            address in self.trusted
+        ):  # a proxy: its clients are judged, when it is known who they are
             verdict = self.admission.welcome(self.loop.now, number, address)
         else:
             verdict = self.admission.arrive(self.loop.now, number, address)
@@ -188,8 +208,15 @@
         number, verdict, data = self.arrived
         self.place(server, link, peer, number, verdict, data)
 
-    def place(self, server: Server, link: Link, peer: tuple[Any, ...], number: int, verdict: Verdict,
-              data: bytes) -> None:
+    def place(
+        self,
+        server: Server,
+        link: Link,
+        peer: tuple[Any, ...],
+        number: int,
+        verdict: Verdict,
+        data: bytes,
+    ) -> None:
         self.close_shed(verdict)
         if verdict.place is Place.SEAT:
             self.let_in(server, link, peer, number, b"")
@@ -228,7 +255,9 @@
         if not self.answer_at_once(server, sock, verdict):
             self.silent["closed without a word"] += 1
 
-    def let_in(self, server: Server, link: Link, peer: tuple[Any, ...], number: int, data: bytes) -> None:
+    def let_in(
+        self, server: Server, link: Link, peer: tuple[Any, ...], number: int, data: bytes
+    ) -> None:
         connection = Connection(server, link, peer, number, data)
         self.open[number] = connection
         server.connections.add(connection)
@@ -284,7 +313,9 @@
             self.admission.bad(self.loop.now, guest.address)
 
     def hold(self, connection: Connection, size: int) -> bool:
-        return connection.number not in self.admission.guests or self.admission.hold(connection.number, size)
+        return connection.number not in self.admission.guests or self.admission.hold(
+            connection.number, size
+        )
 
     def settle(self, connection: Connection) -> None:
         """Between requests: what its last one held is let go."""
@@ -314,11 +345,13 @@
 
     def key_named(self, value: str) -> str:
         """The name of the API key in an Authorization header; "" where it is none of ours."""
-        if value[:len(SCHEME)].lower() != SCHEME:
+        if value[: len(SCHEME)].lower() != SCHEME:
             return ""
-        return self.settings.keys.get(key_hash(value[len(SCHEME):].strip()), "")
+        return self.settings.keys.get(key_hash(value[len(SCHEME) :].strip()), "")
 
-    def handle(self, server: Server, handler: Any, request: Request, connection: Connection) -> Coroutine:
+    def handle(
+        self, server: Server, handler: Any, request: Request, connection: Connection
+    ) -> Coroutine:
         admission, now, number = self.admission, self.loop.now, connection.number
         refuse, level_of = self.fronts[server]
         guest = admission.guests.get(number)
@@ -330,7 +363,9 @@
         if address != self.address_of(connection.peer):
             request.client = shown(address)
         if "authorization" in request.headers:
-            self.close_shed(admission.present(now, number, self.key_named(request.headers["authorization"])))
+            self.close_shed(
+                admission.present(now, number, self.key_named(request.headers["authorization"]))
+            )
         level, tenant = level_of(request)
         turn = admission.ask(now, number, address, tenant, self.shares.get(tenant, 0.0), level)
         if not isinstance(turn, Turn):
@@ -354,7 +389,8 @@
             if len(self.refusals) > 1000:
                 self.refusals.clear()
             found = self.refusals[key] = encode_response(
-                self.fronts[server][0](told(verdict), float(key[2])), None, True)
+                self.fronts[server][0](told(verdict), float(key[2])), None, True
+            )
         return found
 
     def refused_now(self, verdict: Verdict) -> None:
@@ -376,23 +412,45 @@
         admission, now = self.admission, self.loop.now
         seats = {rank.name.lower(): admission.ranked[rank] for rank in Rank}
         return {
-            "budgets": {name: getattr(self.budgets, name) for name in ("limit", "fixed", "admin", "lane", "boxes",
-                                                                       "clients")},
-            "seats": seats, "lane": len(admission.lane), "reserve": admission.seats - admission.limit(Rank.UNKNOWN),
-            "queries": admission.up_to(admission.turns, Rank.LISTED), "queries_most": self.settings.held,
-            "bytes": admission.bytes, "bytes_most": self.settings.bytes,
-            "decisions": dict(admission.decisions), "silent": dict(self.silent),
-            "arriving": [{"address": shown(key), "a_second": count / self.settings.memory,
-                          "error": error / self.settings.memory}
-                         for key, count, error in admission.rates.top(now, TOLD)],
-            "refused": [{"address": shown(key), "of_late": count, "error": error}
-                        for key, count, error in admission.refused.top(now, TOLD)],
-            "connected": [{"address": shown(key), "connections": admission.seated.held[key],
-                           "rank": admission.rank_of(now, key).name.lower()}
-                          for key, _ in zip(admission.seated.keys(), range(TOLD), strict=False)],
-            "prefixes": [{"prefix": prefix_shown(key), "connections": count}
-                         for key, count in admission.prefixed.most_common(TOLD)],
-            "banned": admission.lists.banned, "allowed": admission.lists.allowed,
+            "budgets": {
+                name: getattr(self.budgets, name)
+                for name in ("limit", "fixed", "admin", "lane", "boxes", "clients")
+            },
+            "seats": seats,
+            "lane": len(admission.lane),
+            "reserve": admission.seats - admission.limit(Rank.UNKNOWN),
+            "queries": admission.up_to(admission.turns, Rank.LISTED),
+            "queries_most": self.settings.held,
+            "bytes": admission.bytes,
+            "bytes_most": self.settings.bytes,
+            "decisions": dict(admission.decisions),
+            "silent": dict(self.silent),
+            "arriving": [
+                {
+                    "address": shown(key),
+                    "a_second": count / self.settings.memory,
+                    "error": error / self.settings.memory,
+                }
+                for key, count, error in admission.rates.top(now, TOLD)
+            ],
+            "refused": [
+                {"address": shown(key), "of_late": count, "error": error}
+                for key, count, error in admission.refused.top(now, TOLD)
+            ],
+            "connected": [
+                {
+                    "address": shown(key),
+                    "connections": admission.seated.held[key],
+                    "rank": admission.rank_of(now, key).name.lower(),
+                }
+                for key, _ in zip(admission.seated.keys(), range(TOLD), strict=False)
+            ],
+            "prefixes": [
+                {"prefix": prefix_shown(key), "connections": count}
+                for key, count in admission.prefixed.most_common(TOLD)
+            ],
+            "banned": admission.lists.banned,
+            "allowed": admission.lists.allowed,
         }
 
 
