--- a/stepknot/broker/indices.py
+++ b/stepknot/broker/indices.py
@@ -23,7 +23,9 @@
 from stepknot.net.loop import Park, Signal
 from stepknot.search.errors import ParsingError, RequestError, unsupported
 
-LEASE = 2.0  # seconds for which what was learnt of a created index, or that there is none, is believed
+LEASE = (
+    2.0  # seconds for which what was learnt of a created index, or that there is none, is believed
+)
 ASKED = 3  # boxes asked in turn for an index that is not known here
 ASK_TIME = 0.5  # seconds for each of them
 ADMIN_TIME = 5.0  # seconds for all boxes to take a change
@@ -57,8 +59,11 @@
         for name in names.split(","):
             if "*" in name:
                 head, _, tail = name.partition("*")
-                found |= {each: index for each, index in self.known().items()
-                          if each.startswith(head) and each.endswith(tail)}
+                found |= {
+                    each: index
+                    for each, index in self.known().items()
+                    if each.startswith(head) and each.endswith(tail)
+                }
             else:
                 found[name] = self.get(name)
         return list(found.values())
@@ -69,7 +74,13 @@
         """Ask the boxes for names that are not known, or no longer; the waits are short and bounded."""
         for name in dict.fromkeys(names):
             old = self.core.loop.now - self.asked.get(name, -LEASE) >= LEASE
-            if name and name not in self.declared and "*" not in name and not name.startswith("_") and old:
+            if (
+                name
+                and name not in self.declared
+                and "*" not in name
+                and not name.startswith("_")
+                and old
+            ):
                 yield from self.ask(name)
 
     def ask(self, name: str) -> Steps:
@@ -81,7 +92,9 @@
             status, body = yield from self.call(box, "GET", f"/{name}", b"", ASK_TIME)
             if status == 200:
                 try:
-                    self.created[name] = index_of(name, orjson.loads(body)[name], self.core.settings.cells)
+                    self.created[name] = index_of(
+                        name, orjson.loads(body)[name], self.core.settings.cells
+                    )
                 except (KeyError, ValueError, TypeError):
                     continue
                 self.asked[name] = self.core.loop.now
@@ -92,7 +105,9 @@
                 return
 
     def live(self) -> list[str]:
-        return [name for name, entry in self.core.servers.items() if entry.state is ServerState.LIVE]
+        return [
+            name for name, entry in self.core.servers.items() if entry.state is ServerState.LIVE
+        ]
 
     def call(self, box: str, method: str, path: str, body: bytes, seconds: float) -> Steps:
         """One plain request to one box: (status, body), status 0 where no answer came."""
@@ -109,8 +124,10 @@
             exchange.abandon()
             done.set((0, b""))
 
-        head = (f"{method} {path} HTTP/1.1\r\nhost: {box}\r\ncontent-type: application/json\r\n"
-                f"content-length: {len(body)}\r\n\r\n")
+        head = (
+            f"{method} {path} HTTP/1.1\r\nhost: {box}\r\ncontent-type: application/json\r\n"
+            f"content-length: {len(body)}\r\n\r\n"
+        )
         exchange = Exchange(head.encode() + body, end)
         timer = self.core.loop.call_later(seconds, expire)
         self.pool.start(box, exchange)
@@ -121,7 +138,9 @@
     def create(self, name: str, body: Any) -> Steps:
         """Whether all live boxes took it."""
         if name in self.declared or name in self.created:
-            raise RequestError(f"index [{name}] already exists", "resource_already_exists_exception")
+            raise RequestError(
+                f"index [{name}] already exists", "resource_already_exists_exception"
+            )
         if name != name.lower() or not name[:1].isalnum() or set(name) & set('\\/*?"<>| ,#:'):
             raise RequestError(f"Invalid index name [{name}]", "invalid_index_name_exception")
         definition = checked_definition(body)
@@ -132,20 +151,28 @@
     def put_mapping(self, name: str, body: Any) -> Steps:
         index = self.get(name)
         if name in self.declared:
-            raise RequestError(f"index [{name}] is declared in the broker's settings; its mapping is changed there",
-                               "security_exception", 403)
+            raise RequestError(
+                f"index [{name}] is declared in the broker's settings; its mapping is changed there",
+                "security_exception",
+                403,
+            )
         fields = checked_fields(body)
         for field, kind in fields.items():
             if index.fields.get(field, kind) != kind:
-                raise RequestError(f"mapper [{field}] cannot be changed from type [{index.fields[field]}] to [{kind}]")
+                raise RequestError(
+                    f"mapper [{field}] cannot be changed from type [{index.fields[field]}] to [{kind}]"
+                )
         index.fields.update(fields)
         return (yield from self.broadcast("PUT", f"/{name}/_mapping", orjson.dumps(body), {200}))
 
     def delete(self, name: str) -> Steps:
         self.get(name)
         if name in self.declared:
-            raise RequestError(f"index [{name}] is declared in the broker's settings and is removed there",
-                               "security_exception", 403)
+            raise RequestError(
+                f"index [{name}] is declared in the broker's settings and is removed there",
+                "security_exception",
+                403,
+            )
         self.created.pop(name, None)
         self.asked[name] = self.core.loop.now
         return (yield from self.broadcast("DELETE", f"/{name}", b"", {200, 404}))
@@ -162,7 +189,9 @@
                 done.set()
 
         for box in boxes:
-            self.core.loop.spawn(handed(partial(self.call, box, method, path, body, ADMIN_TIME), end), "admin")
+            self.core.loop.spawn(
+                handed(partial(self.call, box, method, path, body, ADMIN_TIME), end), "admin"
+            )
         if boxes:
             yield from done.wait()
         return bool(boxes) and taken == len(boxes)
@@ -174,8 +203,13 @@
 
 def index_of(name: str, definition: Any, cells: int) -> Index:
     shards = int(definition["settings"]["index"]["number_of_shards"])
-    fields = {field: str(each["type"]) for field, each in definition["mappings"].get("properties", {}).items()}
-    return Index(name, shards, default_routing_shards(shards), mmh3.hash(name, signed=False) % cells, fields)
+    fields = {
+        field: str(each["type"])
+        for field, each in definition["mappings"].get("properties", {}).items()
+    }
+    return Index(
+        name, shards, default_routing_shards(shards), mmh3.hash(name, signed=False) % cells, fields
+    )
 
 
 def checked_definition(body: Any) -> dict[str, Any]:
@@ -198,11 +232,15 @@
             raise unsupported(key, "create index.settings")
     given: Any = settings.get("number_of_shards", settings.get("index.number_of_shards", 1))
     if not str(given).isdigit() or not 1 <= int(given) <= MOST_SHARDS:
-        raise RequestError(f"Failed to parse value [{given}] for setting [index.number_of_shards] must be 1 to "
-                           f"{MOST_SHARDS}")
+        raise RequestError(
+            f"Failed to parse value [{given}] for setting [index.number_of_shards] must be 1 to "
+            f"{MOST_SHARDS}"
+        )
     fields = checked_fields(body.get("mappings") or {})
-    return {"settings": {"index": {"number_of_shards": str(given)}},
-            "mappings": {"properties": {name: {"type": kind} for name, kind in fields.items()}}}
+    return {
+        "settings": {"index": {"number_of_shards": str(given)}},
+        "mappings": {"properties": {name: {"type": kind} for name, kind in fields.items()}},
+    }
 
 
 def checked_fields(mappings: Any) -> dict[str, str]:
@@ -213,13 +251,20 @@
             raise unsupported(key, "mappings")
     properties = mappings.get("properties", {})
     if not isinstance(properties, dict) or len(properties) > MOST_FIELDS:
-        raise ParsingError(f"[mappings.properties] must be an object of {MOST_FIELDS} fields at the most")
+        raise ParsingError(
+            f"[mappings.properties] must be an object of {MOST_FIELDS} fields at the most"
+        )
     fields = {}
     for name, each in properties.items():
         kind = each.get("type") if isinstance(each, dict) else None
         if kind not in FIELD_TYPES:
-            raise RequestError(f"No handler for type [{kind}] declared on field [{name}]", "mapper_parsing_exception")
+            raise RequestError(
+                f"No handler for type [{kind}] declared on field [{name}]",
+                "mapper_parsing_exception",
+            )
         if len(each) > 1:
-            raise unsupported(next(key for key in each if key != "type"), f"mappings.properties.{name}")
+            raise unsupported(
+                next(key for key in each if key != "type"), f"mappings.properties.{name}"
+            )
         fields[name] = kind
     return fields
--- a/stepknot/broker/life.py
+++ b/stepknot/broker/life.py
@@ -14,7 +14,10 @@
 COLLECT_EVERY = 50_000
 
 
-HANDLED = {signal.SIGHUP, signal.SIGTERM}  # held back, where the caller does so, until `live` listens for them
+HANDLED = {
+    signal.SIGHUP,
+    signal.SIGTERM,
+}  # held back, where the caller does so, until `live` listens for them
 
 
 class Life:
@@ -28,11 +31,19 @@
     def on_task_error(self, name: str, error: BaseException) -> None:
         """A task that failed unexpectedly is told loudly; the broker goes on for all others."""
         self.core.counts["internal_errors"] += 1
-        self.log("internal_error", task=name, error=f"{type(error).__name__}: {error}", exc_info=error)
+        self.log(
+            "internal_error", task=name, error=f"{type(error).__name__}: {error}", exc_info=error
+        )
 
     def on_slow_turn(self, took: float, cpu: float) -> None:
         """Little processor time in a long turn: the machine is busy. Much of it: this broker is."""
-        self.log("slow_turn", took=round(took, 3), cpu=round(cpu, 3), held=len(self.core.held), out=len(self.core.out))
+        self.log(
+            "slow_turn",
+            took=round(took, 3),
+            cpu=round(cpu, 3),
+            held=len(self.core.held),
+            out=len(self.core.out),
+        )
 
     def live(self, reload: Callable[[], None] | None) -> None:
         """Turn until `ending` is over; `reload` is what SIGHUP does."""
--- a/stepknot/broker/owning.py
+++ b/stepknot/broker/owning.py
@@ -37,8 +37,16 @@
 
 
 class Owning:
-    def __init__(self, loop: Loop, owners: Owners, peering: Peering, core: Core, listed: Drained, seed: int,
-                 log: Log) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        owners: Owners,
+        peering: Peering,
+        core: Core,
+        listed: Drained,
+        seed: int,
+        log: Log,
+    ) -> None:
         """Raises OSError and `voterstore.Unfit` where the voter's state cannot be used."""
         self.loop, self.peering, self.core, self.listed, self.log = loop, peering, core, listed, log
         self.settings = owners.settings
@@ -59,8 +67,18 @@
             self.writer = Writer(store, self.saved)
         self.next_step = math.inf
         self.counted: deque[tuple[float, int, int]] = deque([(loop.clock(), 0, 0)])
-        self.node = Ownership(me, self.settings, voter, {drains.JOB: Work(
-            self.step_drains, self.order_drains, self.apply_drains, self.begin_drains)}, seed, self.is_member)
+        self.node = Ownership(
+            me,
+            self.settings,
+            voter,
+            {
+                drains.JOB: Work(
+                    self.step_drains, self.order_drains, self.apply_drains, self.begin_drains
+                )
+            },
+            seed,
+            self.is_member,
+        )
         self.able: bool | None = None
         peering.others[MARK] = self.on_datagram
         self.timer = loop.call_later(0.0, self.tick)
@@ -72,7 +90,11 @@
         return record is not None and record.state is not State.SUSPECT
 
     def tick(self) -> None:
-        members = [name for name, record in self.peering.members.table.here.items() if record.state is State.ALIVE]
+        members = [
+            name
+            for name, record in self.peering.members.table.here.items()
+            if record.state is State.ALIVE
+        ]
         self.guarded(lambda now: self.node.tick(now, members))
         self.timer = self.loop.call_later(TICK * self.settings.lease, self.tick)
 
@@ -104,7 +126,9 @@
         voter = self.node.voter
         if voter is not None and self.able != (able := voter.way is None and not voter.broken):
             self.able = able
-            self.log("voter_votes" if able else "voter_does_not_vote", life=voter.life, why=voter.broken)
+            self.log(
+                "voter_votes" if able else "voter_does_not_vote", life=voter.life, why=voter.broken
+            )
 
     def send(self, to: str, data: bytes) -> None:
         if to == self.node.me[0]:
@@ -150,8 +174,10 @@
     # --- the first job
 
     def boxes(self) -> dict[str, drains.Box]:
-        return {server: drains.Box(entry.zone, entry.cell, entry.state is ServerState.LIVE)
-                for server, entry in self.listed.entries.items()}
+        return {
+            server: drains.Box(entry.zone, entry.cell, entry.state is ServerState.LIVE)
+            for server, entry in self.listed.entries.items()
+        }
 
     def failing(self, now: float) -> float:
         """The share of queries here that got no answer of late. Of few nothing is said."""
@@ -170,7 +196,9 @@
         self.next_step = now + drains.pause_after(drains.read(committed.value))
 
     def step_drains(self, now: float, value: bytes) -> bytes | None:
-        failing = self.failing(now) if now >= self.counted[-1][0] + 0.1 or now >= self.next_step else 0.0
+        failing = (
+            self.failing(now) if now >= self.counted[-1][0] + 0.1 or now >= self.next_step else 0.0
+        )
         if now < self.next_step:
             return None
         before = drains.read(value)
@@ -198,11 +226,24 @@
         try:
             state = drains.read(held.value)
         except msgspec.DecodeError as error:
-            self.log("ledger_not_understood", job=drains.JOB, epoch=held.epoch, step=held.step, error=str(error))
+            self.log(
+                "ledger_not_understood",
+                job=drains.JOB,
+                epoch=held.epoch,
+                step=held.step,
+                error=str(error),
+            )
             return
         self.listed.set_out(state.out)
-        self.log("drains_changed", epoch=held.epoch, step=held.step, status=state.status, out=state.out, why=state.why,
-                 steps=state.steps)
+        self.log(
+            "drains_changed",
+            epoch=held.epoch,
+            step=held.step,
+            status=state.status,
+            out=state.out,
+            why=state.why,
+            steps=state.steps,
+        )
 
     # --- operators
 
@@ -213,23 +254,44 @@
         for name, job in node.jobs.items():
             owner, newest = job.owner, job.fence.newest
             mine = owner.acting(now)
-            rows.append({
-                "job": name, "owner": job.owner_name if mine or now - job.heard <= self.settings.lease else "",
-                "last_owner": job.owner_name, "epoch": job.owner_epoch, "here": mine, "phase": owner.phase.value,
-                "heard": age(now, job.heard), "since": age(now, owner.since) if mine else None,
-                "till": round(owner.until - now, 3) if mine else None, "why": owner.why,
-                "known_epoch": owner.known_epoch, "granted_by": list(owner.grants) if owner.phase is not Phase.IDLE
-                else [], "version": list(newest.version) if newest else None, "ready": job.fence.ready,
-                "older_refused": job.fence.refused,
-            })
+            rows.append(
+                {
+                    "job": name,
+                    "owner": job.owner_name
+                    if mine or now - job.heard <= self.settings.lease
+                    else "",
+                    "last_owner": job.owner_name,
+                    "epoch": job.owner_epoch,
+                    "here": mine,
+                    "phase": owner.phase.value,
+                    "heard": age(now, job.heard),
+                    "since": age(now, owner.since) if mine else None,
+                    "till": round(owner.until - now, 3) if mine else None,
+                    "why": owner.why,
+                    "known_epoch": owner.known_epoch,
+                    "granted_by": list(owner.grants) if owner.phase is not Phase.IDLE else [],
+                    "version": list(newest.version) if newest else None,
+                    "ready": job.fence.ready,
+                    "older_refused": job.fence.refused,
+                }
+            )
         newest = node.jobs[drains.JOB].fence.newest
         voter = node.voter
         return {
-            "name": node.me[0], "voters": list(self.settings.voters), "lease": self.settings.lease, "jobs": rows,
+            "name": node.me[0],
+            "voters": list(self.settings.voters),
+            "lease": self.settings.lease,
+            "jobs": rows,
             "drains": as_dict(drains.read(newest.value)) if newest else None,
-            "voter": None if voter is None else {
-                "votes": voter.way is None and not voter.broken, "life": voter.life, "broken": voter.broken,
-                "promised": {name: each.promised for name, each in voter.jobs.items()}, "saves": self.written},
+            "voter": None
+            if voter is None
+            else {
+                "votes": voter.way is None and not voter.broken,
+                "life": voter.life,
+                "broken": voter.broken,
+                "promised": {name: each.promised for name, each in voter.jobs.items()},
+                "saves": self.written,
+            },
             "counters": dict(node.counters),
         }
 
@@ -239,21 +301,35 @@
         gauges: tuple[tuple[str, str, Callable[[JobView], float]], ...] = (
             ("owned", "Whether this broker owns the job", lambda job: job.owner.acting(now)),
             ("epoch", "The epoch of the owner that was heard last", lambda job: job.owner_epoch),
-            ("known", "Whether an owner is heard", lambda job: now - job.heard <= self.settings.lease))
+            (
+                "known",
+                "Whether an owner is heard",
+                lambda job: now - job.heard <= self.settings.lease,
+            ),
+        )
         for name, text, value in gauges:
             gauge = GaugeMetricFamily(f"stepknot_job_{name}", text, labels=["job"])
             for job, view in node.jobs.items():
                 gauge.add_metric([job], value(view))
             found.append(gauge)
-        events = CounterMetricFamily("stepknot_ownership_events", "What happened in ownership", labels=["what"])
+        events = CounterMetricFamily(
+            "stepknot_ownership_events", "What happened in ownership", labels=["what"]
+        )
         for what, count in node.counters.items():
             events.add_metric([what], count)
-        return [*found, events, CounterMetricFamily("stepknot_voter_saves", "Saves of the voter's state", self.written)]
+        return [
+            *found,
+            events,
+            CounterMetricFamily("stepknot_voter_saves", "Saves of the voter's state", self.written),
+        ]
 
 
 def as_dict(state: drains.State) -> dict[str, Any]:
     drain = state.drain
-    return {**msgspec.structs.asdict(state), "drain": msgspec.structs.asdict(drain) if drain is not None else None}
+    return {
+        **msgspec.structs.asdict(state),
+        "drain": msgspec.structs.asdict(drain) if drain is not None else None,
+    }
 
 
 def age(now: float, at: float) -> float | None:
--- a/stepknot/broker/peering.py
+++ b/stepknot/broker/peering.py
@@ -22,8 +22,15 @@
 
 
 class Peering:
-    def __init__(self, loop: Loop, peers: Peers, seed: int, on_count: Callable[[int], None],
-                 log: Callable[..., None], wall: Callable[[], float] = time.time) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        peers: Peers,
+        seed: int,
+        on_count: Callable[[int], None],
+        log: Callable[..., None],
+        wall: Callable[[], float] = time.time,
+    ) -> None:
         """Raises OSError where the address is taken. `on_count` hears how many brokers there may be, at each change."""
         self.loop, self.on_count, self.log = loop, on_count, log
         self.settings = peers.settings
@@ -36,7 +43,9 @@
         self.counted: Counts | None = None
         self.apart = False
         self.told_of_self = False
-        self.others: dict[bytes, Callable[[bytes], None]] = {}  # by a datagram's first byte: others on this socket
+        self.others: dict[
+            bytes, Callable[[bytes], None]
+        ] = {}  # by a datagram's first byte: others on this socket
         self.addresses: dict[str, tuple[str, int]] = {}  # of members, as last known
         if peers.settings.seeds and not self.members.seeds:
             log("peers_only_seed_is_this_broker", address=f"{host}:{port}")
@@ -80,12 +89,19 @@
         for address, data in out:
             self.socket.send(address, data)
         for change in changes:
-            self.log("peer_changed", version=change.version, peer=change.name, why=change.why,
-                     old=change.before.name.lower() if change.before is not None else None,
-                     new=change.after.name.lower() if change.after is not None else None)
+            self.log(
+                "peer_changed",
+                version=change.version,
+                peer=change.name,
+                why=change.why,
+                old=change.before.name.lower() if change.before is not None else None,
+                new=change.after.name.lower() if change.after is not None else None,
+            )
         if members.isolated != self.apart:
             self.apart = members.isolated
-            self.log("peers_isolated" if self.apart else "peers_not_isolated", why=members.isolated_why)
+            self.log(
+                "peers_isolated" if self.apart else "peers_not_isolated", why=members.isolated_why
+            )
         if members.stepped_aside and not self.told_of_self:
             self.told_of_self = True
             self.log("peers_stepped_aside", why=members.isolated_why)
@@ -115,42 +131,79 @@
         for name, record in sorted(table.records.items()):
             watched = members.watched.get(name)
             since, why = table.why.get(name, (-math.inf, ""))
-            rows.append({
-                "name": name, "state": record.state.name.lower(), "address": f"{record.host}:{record.port}",
-                "epoch": record.epoch, "incarnation": record.incarnation, "self": name == members.own.name,
-                "since": age(now, since), "why": why, "watched": watched is not None,
-                "heard": age(now, watched.heard) if watched else None,
-                "sign": age(now, watched.sign) if watched else None, "sign_by": watched.sign_by if watched else "",
-                "hears_me": age(now, watched.hears_me) if watched else None,
-                "reachable": watched is not None and now - watched.heard <= self.settings.suspect_after,
-                "reaches_me_by_report": watched is not None and
-                now - watched.hears_me <= self.settings.suspect_after + self.settings.period,
-            })
+            rows.append(
+                {
+                    "name": name,
+                    "state": record.state.name.lower(),
+                    "address": f"{record.host}:{record.port}",
+                    "epoch": record.epoch,
+                    "incarnation": record.incarnation,
+                    "self": name == members.own.name,
+                    "since": age(now, since),
+                    "why": why,
+                    "watched": watched is not None,
+                    "heard": age(now, watched.heard) if watched else None,
+                    "sign": age(now, watched.sign) if watched else None,
+                    "sign_by": watched.sign_by if watched else "",
+                    "hears_me": age(now, watched.hears_me) if watched else None,
+                    "reachable": watched is not None
+                    and now - watched.heard <= self.settings.suspect_after,
+                    "reaches_me_by_report": watched is not None
+                    and now - watched.hears_me
+                    <= self.settings.suspect_after + self.settings.period,
+                }
+            )
         return {
-            "name": members.own.name, "fleet": self.settings.fleet, "version": table.version,
-            "digest": f"{table.digest:016x}", "joined": members.joined, "isolated": members.isolated,
-            "isolated_why": members.isolated_why, "stepped_aside": members.stepped_aside,
+            "name": members.own.name,
+            "fleet": self.settings.fleet,
+            "version": table.version,
+            "digest": f"{table.digest:016x}",
+            "joined": members.joined,
+            "isolated": members.isolated,
+            "isolated_why": members.isolated_why,
+            "stepped_aside": members.stepped_aside,
             "stood_still": members.stood_still,
-            "live": members.table.counts[State.ALIVE], "suspect": members.table.counts[State.SUSPECT],
-            "at_least": count.at_least, "at_most": count.at_most, "sure": count.sure,
-            "counters": dict(members.counters), "not_taken": table.refused, "members": rows,
+            "live": members.table.counts[State.ALIVE],
+            "suspect": members.table.counts[State.SUSPECT],
+            "at_least": count.at_least,
+            "at_most": count.at_most,
+            "sure": count.sure,
+            "counters": dict(members.counters),
+            "not_taken": table.refused,
+            "members": rows,
         }
 
     def collect(self) -> list[Metric]:
         members = self.members
-        states = GaugeMetricFamily("stepknot_peers", "Members in this broker's view, by state", labels=["state"])
+        states = GaugeMetricFamily(
+            "stepknot_peers", "Members in this broker's view, by state", labels=["state"]
+        )
         for state in State:
             states.add_metric([state.name.lower()], members.table.counts[state])
-        events = CounterMetricFamily("stepknot_peers_events", "What happened in membership", labels=["what"])
+        events = CounterMetricFamily(
+            "stepknot_peers_events", "What happened in membership", labels=["what"]
+        )
         for what, count in members.counters.items():
             events.add_metric([what], count)
         counted = members.count(self.loop.clock())
-        return [states, events, *(GaugeMetricFamily(f"stepknot_peers_{name}", text, value) for name, value, text in (
-            ("at_least", counted.at_least, "Brokers proven to be there"),
-            ("at_most", counted.at_most, "No more brokers than this may be there"),
-            ("sure", counted.sure, "Whether that count is sure"),
-            ("isolated", members.isolated, "Whether this broker is cut off from most others"),
-            ("version", members.table.version, "Changes of this view so far")))]
+        return [
+            states,
+            events,
+            *(
+                GaugeMetricFamily(f"stepknot_peers_{name}", text, value)
+                for name, value, text in (
+                    ("at_least", counted.at_least, "Brokers proven to be there"),
+                    ("at_most", counted.at_most, "No more brokers than this may be there"),
+                    ("sure", counted.sure, "Whether that count is sure"),
+                    (
+                        "isolated",
+                        members.isolated,
+                        "Whether this broker is cut off from most others",
+                    ),
+                    ("version", members.table.version, "Changes of this view so far"),
+                )
+            ),
+        ]
 
 
 def age(now: float, at: float) -> float | None:
--- a/stepknot/broker/queries.py
+++ b/stepknot/broker/queries.py
@@ -60,14 +60,15 @@
     lost: int = 0  # hits of the page that the second step did not bring
     in_time: bool = True
 
-
     @property
     def answered(self) -> bool:
         """Whether there is an answer that its client may still be given."""
         return self.result is not None and self.result.status is Status.ANSWERED and self.in_time
 
     def coverage(self) -> Coverage:
-        missing = tuple(target for part, target in zip(self.parts, self.targets, strict=True) if not part.served)
+        missing = tuple(
+            target for part, target in zip(self.parts, self.targets, strict=True) if not part.served
+        )
         asked = len(self.parts)
         return Coverage(asked, asked - len(missing), not missing and not self.lost, missing)
 
@@ -127,23 +128,34 @@
 
     # --- who asks
 
-    def client(self, headers: Mapping[str, str], seconds: float | None, arrived: float | None) -> Client:
+    def client(
+        self, headers: Mapping[str, str], seconds: float | None, arrived: float | None
+    ) -> Client:
         """From a request's headers, the same for every front."""
         name = headers.get(NAME_HEADER, "")[:MOST_NAME]
         if not name.isascii() or not name.isprintable():
             name = ""
         self.tokens += 1
         tenant = headers.get(TENANT_HEADER, "")
-        return Client(seconds, tenant if tenant in self.config.tenants else "",  # a name that is not ours says nothing
-                      name or f"{self.boot}-q{self.tokens}", headers.get(CLASS_HEADER, ""), arrived)
+        return Client(
+            seconds,
+            tenant if tenant in self.config.tenants else "",  # a name that is not ours says nothing
+            name or f"{self.boot}-q{self.tokens}",
+            headers.get(CLASS_HEADER, ""),
+            arrived,
+        )
 
     def level(self, operation: str, headers: Mapping[str, str]) -> tuple[int, str]:
         """How many classes are worth more than this operation's, or the one that its client names; and the tenant."""
         classes = self.core.settings.classes
-        kind = classes.get(headers.get(CLASS_HEADER, "")) or classes[self.config.operations[operation]]
+        kind = (
+            classes.get(headers.get(CLASS_HEADER, "")) or classes[self.config.operations[operation]]
+        )
         tenant = headers.get(TENANT_HEADER, "")
-        return (len({each.worth for each in classes.values() if each.worth > kind.worth}),
-                tenant if tenant in self.config.tenants else "")
+        return (
+            len({each.worth for each in classes.values() if each.worth > kind.worth}),
+            tenant if tenant in self.config.tenants else "",
+        )
 
     def new_id(self) -> str:
         return f"{self.core.loop.rng.getrandbits(120):030x}"
@@ -154,14 +166,24 @@
         shard = shard_of(routing, index.shards, index.routing_shards)
         return Target(index.name, shard, index.first + shard)
 
-    def targets(self, indices: list[Index], routing: str = "", only: frozenset[int] | None = None) -> list[Target]:
+    def targets(
+        self, indices: list[Index], routing: str = "", only: frozenset[int] | None = None
+    ) -> list[Target]:
         """All shards, or those that the routing values (comma-separated) lead to."""
         if routing:
-            return list(dict.fromkeys(self.shard(index, each) for index in indices for each in routing.split(",")))
+            return list(
+                dict.fromkeys(
+                    self.shard(index, each) for index in indices for each in routing.split(",")
+                )
+            )
         if only is None and len(indices) == 1:
             return all_shards(indices[0].name, indices[0].shards, indices[0].first)
-        return [target for index in indices for target in all_shards(index.name, index.shards, index.first)
-                if only is None or target.shard in only]
+        return [
+            target
+            for index in indices
+            for target in all_shards(index.name, index.shards, index.first)
+            if only is None or target.shard in only
+        ]
 
     # --- asking
 
@@ -172,7 +194,9 @@
         if kind is None:
             raise RequestError(f"unknown query class [{client.class_name}]")
         if kind.effect is not self.core.settings.classes[self.config.operations[operation]].effect:
-            raise RequestError(f"class [{client.class_name}] does not fit [{operation}]: its effect differs")
+            raise RequestError(
+                f"class [{client.class_name}] does not fit [{operation}]: its effect differs"
+            )
         return client.class_name
 
     def time_left(self, class_name: str, client: Client) -> float:
@@ -185,8 +209,15 @@
         hang_up(lambda: self.core.gone(ask))
         return (yield from ask.done.wait())
 
-    def search(self, search: Search, targets: list[Target], operation: str, client: Client, key: str,
-               hang_up: Any) -> Steps:
+    def search(
+        self,
+        search: Search,
+        targets: list[Target],
+        operation: str,
+        client: Client,
+        key: str,
+        hang_up: Any,
+    ) -> Steps:
         """One search over its shards, in one step or two as its class says; ends in an `Outcome`."""
         class_name = self.class_of(operation, client)
         kind = self.core.settings.classes[class_name]
@@ -194,6 +225,7 @@
         two = kind.second_step_parts > 0
         body = orjson.dumps(shard_body(search, seconds, not two, client.name))
         share = 1 / max(len(targets), 1)
+
         def page(parts: list[QueryPart]) -> Merged:
             found: list[ShardHits] = [each.answer for each in parts if each.served]
             return merge(search, found, len(found) < len(parts), self.config.buckets)
@@ -205,28 +237,62 @@
             try:
                 merged.append(page(parts))
             except (MergeError, RequestError) as error:
-                merged.append(error if isinstance(error, RequestError) else RequestError(
-                    f"shards' answers do not fit together: {error}", "search_phase_execution_exception", 503))
+                merged.append(
+                    error
+                    if isinstance(error, RequestError)
+                    else RequestError(
+                        f"shards' answers do not fit together: {error}",
+                        "search_phase_execution_exception",
+                        503,
+                    )
+                )
                 return []
             if not isinstance(merged[0], Merged):
                 return []
             owned = hits_by_shard(search, merged[0].rows)
             owners.extend(owned)
-            fetches = [(target, ids, orjson.dumps(fetch_body(search, ids, client.name)))
-                       for target, ids in owned.items()]
-            return [QueryPart(target.place, len(ids) / len(merged[0].rows),
-                              SearchPart(target.index, target.shard, body), documents_of(ids))
-                    for target, ids, body in fetches]
-
-        parts = [QueryPart(target.place, share, SearchPart(target.index, target.shard, body, key),
-                           partial(read_shard, target, search)) for target in targets]
-        ask = Ask(class_name, begun + seconds, parts, second if two else None,
-                  client.tenant, key, client.name)
+            fetches = [
+                (target, ids, orjson.dumps(fetch_body(search, ids, client.name)))
+                for target, ids in owned.items()
+            ]
+            return [
+                QueryPart(
+                    target.place,
+                    len(ids) / len(merged[0].rows),
+                    SearchPart(target.index, target.shard, body),
+                    documents_of(ids),
+                )
+                for target, ids, body in fetches
+            ]
+
+        parts = [
+            QueryPart(
+                target.place,
+                share,
+                SearchPart(target.index, target.shard, body, key),
+                partial(read_shard, target, search),
+            )
+            for target in targets
+        ]
+        ask = Ask(
+            class_name,
+            begun + seconds,
+            parts,
+            second if two else None,
+            client.tenant,
+            key,
+            client.name,
+        )
         if not targets:
             return Outcome(Result(Status.ANSWERED, True), [], [], 0.0, page([]))
         result = yield from self.run(ask, hang_up)
-        outcome = Outcome(result, ask.first, targets, self.core.loop.now - begun,
-                          in_time=self.core.loop.now < begun + seconds)
+        outcome = Outcome(
+            result,
+            ask.first,
+            targets,
+            self.core.loop.now - begun,
+            in_time=self.core.loop.now < begun + seconds,
+        )
         if result is None or result.status is not Status.ANSWERED:
             return outcome
         if not two:
@@ -237,13 +303,25 @@
         if isinstance(merged[0], RequestError):
             raise merged[0]
         outcome.merged = merged[0]
-        outcome.documents = {(target, row["_id"]): row for target, each in zip(owners, ask.fetch, strict=True)
-                             if each.served for row in each.answer}
-        outcome.lost = len(merged[0].rows) - len(outcome.documents) if search.source is not False else 0
+        outcome.documents = {
+            (target, row["_id"]): row
+            for target, each in zip(owners, ask.fetch, strict=True)
+            if each.served
+            for row in each.answer
+        }
+        outcome.lost = (
+            len(merged[0].rows) - len(outcome.documents) if search.source is not False else 0
+        )
         return outcome
 
-    def documents(self, wanted: list[tuple[Target, str]], source: Any, operation: str, client: Client,
-                  hang_up: Any) -> Steps:
+    def documents(
+        self,
+        wanted: list[tuple[Target, str]],
+        source: Any,
+        operation: str,
+        client: Client,
+        hang_up: Any,
+    ) -> Steps:
         """Documents by id, one part a shard however many there are; ends in (Ask, found by target and id)."""
         class_name = self.class_of(operation, client)
         by_target: dict[Target, list[str]] = defaultdict(list)
@@ -252,24 +330,54 @@
                 by_target[target].append(name)
         parts = []
         for target, ids in by_target.items():
-            body = {"stats": [client.name], "query": {"ids": {"values": ids}}, "size": len(ids), "_source": source,
-                    "version": True, "seq_no_primary_term": True, "track_total_hits": False}
-            parts.append(QueryPart(target.place, len(ids) / sum(map(len, by_target.values())),
-                                   SearchPart(target.index, target.shard, orjson.dumps(body), ids[0]),
-                                   documents_of(ids)))
+            body = {
+                "stats": [client.name],
+                "query": {"ids": {"values": ids}},
+                "size": len(ids),
+                "_source": source,
+                "version": True,
+                "seq_no_primary_term": True,
+                "track_total_hits": False,
+            }
+            parts.append(
+                QueryPart(
+                    target.place,
+                    len(ids) / sum(map(len, by_target.values())),
+                    SearchPart(target.index, target.shard, orjson.dumps(body), ids[0]),
+                    documents_of(ids),
+                )
+            )
         seconds = self.time_left(class_name, client)
         # Documents come in one step: a class with two is told by an empty second one.
-        ask = Ask(class_name, client.begun(self.core.loop.now) + seconds, parts, None, client.tenant,
-                  wanted[0][1] if wanted else "", client.name)
+        ask = Ask(
+            class_name,
+            client.begun(self.core.loop.now) + seconds,
+            parts,
+            None,
+            client.tenant,
+            wanted[0][1] if wanted else "",
+            client.name,
+        )
         result = yield from self.run(ask, hang_up)
         targets = list(by_target)
-        found = {(target, row["_id"]): row for part, target in zip(parts, targets, strict=True) if part.served
-                 for row in part.answer}
-        return Outcome(result, parts, targets, self.core.loop.now - ask.arrived, documents=found,
-                       in_time=self.core.loop.now < ask.deadline)
-
-    def write(self, writes: list[Write], operation: str, client: Client, refresh: bool,
-              hang_up: Any) -> Steps:
+        found = {
+            (target, row["_id"]): row
+            for part, target in zip(parts, targets, strict=True)
+            if part.served
+            for row in part.answer
+        }
+        return Outcome(
+            result,
+            parts,
+            targets,
+            self.core.loop.now - ask.arrived,
+            documents=found,
+            in_time=self.core.loop.now < ask.deadline,
+        )
+
+    def write(
+        self, writes: list[Write], operation: str, client: Client, refresh: bool, hang_up: Any
+    ) -> Steps:
         """One part a shard; ends in an Outcome whose parts' answers are the boxes' items, and whose part a
         write went to and its place there (`places`)."""
         class_name = self.class_of(operation, client)
@@ -281,14 +389,37 @@
         parts = []
         for target, each in by_target.items():
             self.tokens += 1
-            request = WritePart(target.index, target.shard, b"".join(each), len(each),
-                                f"{self.boot}-{self.tokens}.{client.name}", refresh)
-            parts.append(QueryPart(target.place, len(each) / len(writes), request, lambda payload: payload["items"]))
+            request = WritePart(
+                target.index,
+                target.shard,
+                b"".join(each),
+                len(each),
+                f"{self.boot}-{self.tokens}.{client.name}",
+                refresh,
+            )
+            parts.append(
+                QueryPart(
+                    target.place, len(each) / len(writes), request, lambda payload: payload["items"]
+                )
+            )
         seconds = self.time_left(class_name, client)
-        ask = Ask(class_name, client.begun(self.core.loop.now) + seconds, parts, None, client.tenant, "", client.name)
+        ask = Ask(
+            class_name,
+            client.begun(self.core.loop.now) + seconds,
+            parts,
+            None,
+            client.tenant,
+            "",
+            client.name,
+        )
         result = yield from self.run(ask, hang_up)
-        outcome = Outcome(result, parts, list(by_target), self.core.loop.now - ask.arrived,
-                          in_time=self.core.loop.now < ask.deadline)
+        outcome = Outcome(
+            result,
+            parts,
+            list(by_target),
+            self.core.loop.now - ask.arrived,
+            in_time=self.core.loop.now < ask.deadline,
+        )
         return outcome, places
 
 
@@ -298,7 +429,9 @@
     return [Target(name, shard, first + shard) for shard in range(shards)]
 
 
-def hits_by_shard(search: Search, rows: list[tuple[Target, dict[str, Any]]]) -> dict[Target, list[str]]:
+def hits_by_shard(
+    search: Search, rows: list[tuple[Target, dict[str, Any]]]
+) -> dict[Target, list[str]]:
     """What the second step asks of each shard that owns hits of the page; nothing where no documents are wanted."""
     owned: dict[Target, list[str]] = defaultdict(list)
     if search.source is not False:
--- a/stepknot/broker/service.py
+++ b/stepknot/broker/service.py
@@ -38,8 +38,12 @@
 from stepknot.zones.policy import Zones
 
 MOST_DESCRIPTORS = 200_000  # beyond this a limit says nothing about what a broker can serve
-CHANGES = {"/admission/ban": ("banned", True), "/admission/unban": ("banned", False),
-           "/admission/allow": ("allowed", True), "/admission/disallow": ("allowed", False)}
+CHANGES = {
+    "/admission/ban": ("banned", True),
+    "/admission/unban": ("banned", False),
+    "/admission/allow": ("allowed", True),
+    "/admission/disallow": ("allowed", False),
+}
 GRACE = 10.0  # seconds for which held queries may end by themselves once the broker is told to stop
 LAST_WORD = 2.0  # seconds for final answers to leave after that
 
@@ -71,63 +75,152 @@
     """One broker on a loop of its own. `make_front` gives the handler and the error body of its front, `make_graph`
     those of the second one, where the settings have it."""
 
-    def __init__(self, config: Config, log: Log, make_front: Callable[[Service], Any],
-                 clock: Callable[[], float] = time.monotonic, seed: int | None = None,
-                 make_graph: Callable[[Service], Any] | None = None,
-                 load_again: Callable[[], Config] | None = None) -> None:
+    def __init__(
+        self,
+        config: Config,
+        log: Log,
+        make_front: Callable[[Service], Any],
+        clock: Callable[[], float] = time.monotonic,
+        seed: int | None = None,
+        make_graph: Callable[[Service], Any] | None = None,
+        load_again: Callable[[], Config] | None = None,
+    ) -> None:
         self.config, self.log = config, log
-        chance = random.Random(config.seed if seed is None else seed) if config.seed or seed else random.Random()
+        chance = (
+            random.Random(config.seed if seed is None else seed)
+            if config.seed or seed
+            else random.Random()
+        )
         self.loop = Loop(clock, chance, on_error=self.on_task_error)
         self.loop.on_slow_turn = self.on_slow_turn
         limits = config.settings.limits
         self.name = f"{config.name}@{config.listen[0]}:{config.listen[1]}"
         budgets = self.share_descriptors(config)
-        self.pool = Pool(self.loop, config.connections, config.connect_timeout, limits.idle_connection, config.reply,
-                         budgets.boxes if budgets is not None else 1_000_000)
+        self.pool = Pool(
+            self.loop,
+            config.connections,
+            config.connect_timeout,
+            limits.idle_connection,
+            config.reply,
+            budgets.boxes if budgets is not None else 1_000_000,
+        )
         rules = config.settings.rules
-        self.zones = Zones(config.zones, rules.cold_share, rules.cold_time, shortest_aim(config),
-                           chance.getrandbits(62)) if config.zones is not None else None
-        boxes = RestBoxes(self.loop, self.pool, RestCodec(f"stepknot/{config.listen[1]}"),
-                          config.settings.parts_per_call, log)
-        self.core = Core(self.loop, config.settings, chance.getrandbits(62), boxes, log, config.held, self.name,
-                         self.zones, config.tenants)
+        self.zones = (
+            Zones(
+                config.zones,
+                rules.cold_share,
+                rules.cold_time,
+                shortest_aim(config),
+                chance.getrandbits(62),
+            )
+            if config.zones is not None
+            else None
+        )
+        boxes = RestBoxes(
+            self.loop,
+            self.pool,
+            RestCodec(f"stepknot/{config.listen[1]}"),
+            config.settings.parts_per_call,
+            log,
+        )
+        self.core = Core(
+            self.loop,
+            config.settings,
+            chance.getrandbits(62),
+            boxes,
+            log,
+            config.held,
+            self.name,
+            self.zones,
+            config.tenants,
+        )
         self.queries = Queries(config, self.core, self.pool)
         self.front = make_front(self)
         handler: Handler = self.front.handle
         self.server = Server(self.loop, *config.listen, handler, config.http, self.front.http_error)
-        self.graph = make_graph(self) if make_graph is not None and config.graphql is not None else None
-        self.graph_server = Server(
-            self.loop, *config.graphql.listen, self.graph.handle,
-            replace(config.http, body=min(config.http.body, config.graphql.limits.body)),
-            self.graph.http_error) if self.graph is not None and config.graphql is not None else None
+        self.graph = (
+            make_graph(self) if make_graph is not None and config.graphql is not None else None
+        )
+        self.graph_server = (
+            Server(
+                self.loop,
+                *config.graphql.listen,
+                self.graph.handle,
+                replace(config.http, body=min(config.http.body, config.graphql.limits.body)),
+                self.graph.http_error,
+            )
+            if self.graph is not None and config.graphql is not None
+            else None
+        )
         self.load_again = load_again
         self.gate = None
         if budgets is not None and config.admission is not None:
-            self.gate = Gate(self.loop, config.admission, budgets, self.read_lists(config.admission.state), log,
-                             config.tenants, time.time)
+            self.gate = Gate(
+                self.loop,
+                config.admission,
+                budgets,
+                self.read_lists(config.admission.state),
+                log,
+                config.tenants,
+                time.time,
+            )
             self.gate.attach(self.server, self.front.refuse, self.front.level)
             if self.graph_server is not None and self.graph is not None:
                 self.gate.attach(self.graph_server, self.graph.refuse, self.graph.level)
-        self.admin = Server(self.loop, *config.admin, self.administer, HttpLimits(body=65536),
-                            self.front.http_error) if config.admin is not None else None
+        self.admin = (
+            Server(
+                self.loop,
+                *config.admin,
+                self.administer,
+                HttpLimits(body=65536),
+                self.front.http_error,
+            )
+            if config.admin is not None
+            else None
+        )
         self.listed = Drained(self.core.take_list)
         self.subsetting = None
         if config.subset is not None:
-            from stepknot.broker.subsetting import Subsetting  # not needed, and not loaded, without the block
-
-            self.subsetting = Subsetting(self.loop, replace(config.subset, own=self.own_addresses()), config.settings,
-                                         self.listed, self.core.take_list, log)
+            from stepknot.broker.subsetting import (
+                Subsetting,
+            )  # not needed, and not loaded, without the block
+
+            self.subsetting = Subsetting(
+                self.loop,
+                replace(config.subset, own=self.own_addresses()),
+                config.settings,
+                self.listed,
+                self.core.take_list,
+                log,
+            )
             self.listed.on_list = self.subsetting.take
-        self.source = FileSource(self.loop, config.list_file, config.list_every, self.listed.take,
-                                 lambda trouble: log("box_list_not_taken", trouble=trouble))
-        self.peering = Peering(self.loop, config.peers, chance.getrandbits(62), self.note_instances,
-                               log) if config.peers is not None else None
+        self.source = FileSource(
+            self.loop,
+            config.list_file,
+            config.list_every,
+            self.listed.take,
+            lambda trouble: log("box_list_not_taken", trouble=trouble),
+        )
+        self.peering = (
+            Peering(self.loop, config.peers, chance.getrandbits(62), self.note_instances, log)
+            if config.peers is not None
+            else None
+        )
         self.owning = None
         if config.owners is not None and self.peering is not None:
-            from stepknot.broker.owning import Owning  # not needed, and not loaded, without the block
-
-            self.owning = Owning(self.loop, config.owners, self.peering, self.core, self.listed,
-                                 chance.getrandbits(62), log)
+            from stepknot.broker.owning import (
+                Owning,
+            )  # not needed, and not loaded, without the block
+
+            self.owning = Owning(
+                self.loop,
+                config.owners,
+                self.peering,
+                self.core,
+                self.listed,
+                chance.getrandbits(62),
+                log,
+            )
         self.registry = CollectorRegistry()
         self.registry.register(self)
 
@@ -135,13 +228,19 @@
         """Where this broker listens, as a list would name it: on all addresses of the machine, where others send it
         their datagrams, if that is told."""
         config = self.config
-        servers = ((config.listen, self.server), (config.admin, self.admin),
-                   (config.graphql.listen if config.graphql is not None else None, self.graph_server))
+        servers = (
+            (config.listen, self.server),
+            (config.admin, self.admin),
+            (config.graphql.listen if config.graphql is not None else None, self.graph_server),
+        )
         advertised = config.peers.advertise if config.peers is not None else None
         anywhere = ("127.0.0.1", "::1", *([advertised[0]] if advertised is not None else []))
         return frozenset(
-            host_port(host, server.port) for listen, server in servers if listen is not None and server is not None
-            for host in (anywhere if listen[0] in ("0.0.0.0", "::") else (listen[0],)))
+            host_port(host, server.port)
+            for listen, server in servers
+            if listen is not None and server is not None
+            for host in (anywhere if listen[0] in ("0.0.0.0", "::") else (listen[0],))
+        )
 
     def note_instances(self, count: int) -> None:
         """No more brokers than this may be there, by membership."""
@@ -155,7 +254,12 @@
             return None
         limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         try:
-            found = share_out(min(limit, MOST_DESCRIPTORS), limit, config.admission.lane, config.admission.connections)
+            found = share_out(
+                min(limit, MOST_DESCRIPTORS),
+                limit,
+                config.admission.lane,
+                config.admission.connections,
+            )
         except ValueError as error:
             self.log("admission_off", reason=str(error))
             return None
@@ -204,14 +308,18 @@
         try:
             config = self.load_again()
             if self.graph is None or config.graphql is None:
-                raise ValueError("only the graphql block is read again, and it is not there before and after")
+                raise ValueError(
+                    "only the graphql block is read again, and it is not there before and after"
+                )
             if config.indices != self.config.indices:
                 raise ValueError("the indices differ: that needs a restart")
             self.graph.reload(config)
         except Exception as error:  # noqa: BLE001 - whatever is wrong with it, the old settings stay
             self.log("reload_refused", error=f"{type(error).__name__}: {error}")
         else:
-            self.log("reloaded", types=len(config.graphql.types), entities=len(config.graphql.entities))
+            self.log(
+                "reloaded", types=len(config.graphql.types), entities=len(config.graphql.entities)
+            )
 
     def ending(self) -> Coroutine:
         self.log("stopping", held=len(self.core.held))
@@ -229,8 +337,11 @@
             yield from self.loop.sleep(0.02)
         self.core.give_up_all()
         until = self.loop.now + LAST_WORD
-        while (self.server.connections or self.graph_server is not None and self.graph_server.connections) and (
-                self.loop.now < until):
+        while (
+            self.server.connections
+            or self.graph_server is not None
+            and self.graph_server.connections
+        ) and (self.loop.now < until):
             yield from self.loop.sleep(0.02)
         self.pool.close()
         if self.owning is not None:
@@ -245,11 +356,27 @@
         """The admin socket: what a running broker decides, as JSON."""
         yield from ()
         if request.path == "/zones" and self.zones is not None:
-            rows = [{**asdict(view), "state": view.state.value, "allowed": None if math.isinf(view.allowed)
-                     else view.allowed} for view in self.zones.views(self.loop.now)]
-            return Response(200, orjson.dumps({
-                "broker": self.name, "own": self.zones.settings.own, "spill": self.zones.bounds.spill,
-                "disturbed": self.zones.disturbed(), "shed": self.core.counts["shed"], "zones": rows}))
+            rows = [
+                {
+                    **asdict(view),
+                    "state": view.state.value,
+                    "allowed": None if math.isinf(view.allowed) else view.allowed,
+                }
+                for view in self.zones.views(self.loop.now)
+            ]
+            return Response(
+                200,
+                orjson.dumps(
+                    {
+                        "broker": self.name,
+                        "own": self.zones.settings.own,
+                        "spill": self.zones.bounds.spill,
+                        "disturbed": self.zones.disturbed(),
+                        "shed": self.core.counts["shed"],
+                        "zones": rows,
+                    }
+                ),
+            )
         if request.path == "/admission" and self.gate is not None:
             return Response(200, orjson.dumps({"broker": self.name, **self.gate.view()}))
         if request.path == "/peers" and self.peering is not None:
@@ -262,8 +389,15 @@
             return (yield from self.order(request))
         if request.path.startswith("/admission/") and self.gate is not None:
             return self.change_lists(request)
-        return Response(404, orjson.dumps({"error": f"nothing at {request.path}",
-                                           "known": ["/zones", "/admission", "/peers", "/owner", "/subset", *CHANGES]}))
+        return Response(
+            404,
+            orjson.dumps(
+                {
+                    "error": f"nothing at {request.path}",
+                    "known": ["/zones", "/admission", "/peers", "/owner", "/subset", *CHANGES],
+                }
+            ),
+        )
 
     def show_subset(self, subsetting: Subsetting, query: dict[str, str]) -> Coroutine:
         """`?held=1`: with the nodes in use; `?why=NODE`: only why this one is, or is not, in use."""
@@ -271,7 +405,9 @@
         if "why" in query:
             reason = subsetting.why(query["why"])
             if reason is None and not subsetting.off:
-                return Response(404, orjson.dumps({"error": f"the list has no node {query['why']}"}))
+                return Response(
+                    404, orjson.dumps({"error": f"the list has no node {query['why']}"})
+                )
             found["why"] = reason
         return Response(200, orjson.dumps(found))
 
@@ -280,14 +416,23 @@
         assert self.owning is not None
         node, job = self.owning.node, request.query.get("job", "")
         if request.method != "POST" or job not in node.jobs:
-            return Response(405 if request.method != "POST" else 404, orjson.dumps({
-                "error": f"POST, for one of these jobs: {', '.join(node.jobs)}"}))
+            return Response(
+                405 if request.method != "POST" else 404,
+                orjson.dumps({"error": f"POST, for one of these jobs: {', '.join(node.jobs)}"}),
+            )
         if request.path == "/owner/yield":
             done: list[bool] = []
-            self.owning.guarded(lambda now: done.append(node.hand_over(now, job, "an operator's word")))
-            return Response(200 if done == [True] else 409, orjson.dumps(
-                {"yielded": True} if done == [True] else {"error": f"{job} is not owned here",
-                                                          "owner": node.jobs[job].owner_name}))
+            self.owning.guarded(
+                lambda now: done.append(node.hand_over(now, job, "an operator's word"))
+            )
+            return Response(
+                200 if done == [True] else 409,
+                orjson.dumps(
+                    {"yielded": True}
+                    if done == [True]
+                    else {"error": f"{job} is not owned here", "owner": node.jobs[job].owner_name}
+                ),
+            )
         number = request.query.get("number") or f"{self.loop.rng.getrandbits(64):016x}"
         problem: list[str] = []
 
@@ -304,16 +449,21 @@
                 problem.append(answer)
             else:
                 yield from self.loop.sleep(0.02)
-        return Response(409, orjson.dumps({"error": problem[0], "number": number})) if problem[0] else Response(
-            200, orjson.dumps({"taken": True, "number": number}))
+        return (
+            Response(409, orjson.dumps({"error": problem[0], "number": number}))
+            if problem[0]
+            else Response(200, orjson.dumps({"taken": True, "number": number}))
+        )
 
     def change_lists(self, request: Request) -> Response:
         """Ban, allow, or take off: `?network=10.0.0.0/8&seconds=600`."""
         assert self.gate is not None
         change = CHANGES.get(request.path)
         if change is None or request.method != "POST":
-            return Response(405 if change else 404,
-                            orjson.dumps({"error": "POST to one of these", "known": [*CHANGES]}))
+            return Response(
+                405 if change else 404,
+                orjson.dumps({"error": "POST to one of these", "known": [*CHANGES]}),
+            )
         kind, put = change
         lists, text = self.gate.admission.lists, request.query.get("network", "")
         try:
@@ -327,7 +477,9 @@
             self.keep_lists()
         except (ValueError, OSError) as error:
             return Response(400, orjson.dumps({"error": str(error)}))
-        self.log("admission_changed", what=request.path.rpartition("/")[2], network=text, seconds=seconds)
+        self.log(
+            "admission_changed", what=request.path.rpartition("/")[2], network=text, seconds=seconds
+        )
         return Response(200, orjson.dumps({"banned": lists.banned, "allowed": lists.allowed}))
 
     # --- metrics
@@ -338,20 +490,26 @@
     def collect(self) -> list[Metric]:
         core, loop, pool = self.core, self.loop, self.pool
         found: list[Metric] = []
-        queries = CounterMetricFamily("stepknot_queries", "Queries by class and ending", labels=["class", "ending"])
+        queries = CounterMetricFamily(
+            "stepknot_queries", "Queries by class and ending", labels=["class", "ending"]
+        )
         for (name, ending), count in core.class_counts.items():
             queries.add_metric([name, ending], count)
-        attempts = CounterMetricFamily("stepknot_attempts", "Attempts by outcome", labels=["outcome"])
+        attempts = CounterMetricFamily(
+            "stepknot_attempts", "Attempts by outcome", labels=["outcome"]
+        )
         for key, count in core.counts.items():
             if key.startswith("ended_"):
                 attempts.add_metric([key.removeprefix("ended_")], count)
-        tenants = CounterMetricFamily("stepknot_tenant_queries", "Queries by tenant and ending",
-                                      labels=["tenant", "ending"])
+        tenants = CounterMetricFamily(
+            "stepknot_tenant_queries", "Queries by tenant and ending", labels=["tenant", "ending"]
+        )
         for (name, ending), count in core.tenant_counts.items():
             tenants.add_metric([name, ending], count)
         found += [queries, attempts, tenants]
         for name, value, text in (
-            ("parts", core.counts["parts"], "Parts taken"), ("calls", core.counts["calls"], "Calls sent to boxes"),
+            ("parts", core.counts["parts"], "Parts taken"),
+            ("calls", core.counts["calls"], "Calls sent to boxes"),
             ("shed", core.counts["shed"], "Queries shed for want of room in zones"),
             ("zone_changes", core.counts["zone_changes"], "Changes of a zone's state"),
             ("probes", core.counts["probes"], "Questions sent to boxes"),
@@ -372,22 +530,33 @@
                     gauge.add_metric([view.zone], read(view))
                 found.append(gauge)
         for name, value, text in (
-            ("held_queries", len(core.held), "Queries held"), ("attempts_out", len(core.out), "Attempts out"),
+            ("held_queries", len(core.held), "Queries held"),
+            ("attempts_out", len(core.out), "Attempts out"),
             ("client_connections", len(self.server.connections), "Clients connected"),
             ("boxes_listed", len(core.servers), "Boxes on the list"),
             ("loop_lag_most_seconds", loop.lag_most, "The longest turn so far"),
         ):
             found.append(GaugeMetricFamily(f"stepknot_{name}", text, value))
         if self.graph is not None and self.graph_server is not None:
-            graph = CounterMetricFamily("stepknot_graphql_requests", "GraphQL requests by what became of them",
-                                        labels=["what"])
+            graph = CounterMetricFamily(
+                "stepknot_graphql_requests",
+                "GraphQL requests by what became of them",
+                labels=["what"],
+            )
             for what, count in self.graph.counts.items():
                 graph.add_metric([what], count)
             kept = self.graph.graph.documents
-            found += [graph, GaugeMetricFamily("stepknot_graphql_documents", "Prepared documents kept",
-                                               len(kept.kept)),
-                      GaugeMetricFamily("stepknot_graphql_connections", "Clients connected to the GraphQL front",
-                                        len(self.graph_server.connections))]
+            found += [
+                graph,
+                GaugeMetricFamily(
+                    "stepknot_graphql_documents", "Prepared documents kept", len(kept.kept)
+                ),
+                GaugeMetricFamily(
+                    "stepknot_graphql_connections",
+                    "Clients connected to the GraphQL front",
+                    len(self.graph_server.connections),
+                ),
+            ]
         if self.peering is not None:
             found += self.peering.collect()
         if self.owning is not None:
@@ -396,15 +565,23 @@
             found += self.subsetting.collect()
         if self.gate is not None:
             admission = self.gate.admission
-            decided = CounterMetricFamily("stepknot_admission_decisions", "What admission decided", labels=["what"])
+            decided = CounterMetricFamily(
+                "stepknot_admission_decisions", "What admission decided", labels=["what"]
+            )
             for what, count in admission.decisions.items():
                 decided.add_metric([what], count)
-            silent = CounterMetricFamily("stepknot_admission_silent", "Connections closed without an answer, and why",
-                                         labels=["why"])
+            silent = CounterMetricFamily(
+                "stepknot_admission_silent",
+                "Connections closed without an answer, and why",
+                labels=["why"],
+            )
             for what, count in self.gate.silent.items():
                 silent.add_metric([what], count)
-            seats = GaugeMetricFamily("stepknot_admission_seats", "Connections served, by how well they are known",
-                                      labels=["rank"])
+            seats = GaugeMetricFamily(
+                "stepknot_admission_seats",
+                "Connections served, by how well they are known",
+                labels=["rank"],
+            )
             for rank in Rank:
                 seats.add_metric([rank.name.lower()], admission.ranked[rank])
             found += [decided, silent, seats]
@@ -419,6 +596,8 @@
         for bound, count in zip((*LAG_BUCKETS, "+Inf"), loop.lag_counts, strict=True):
             total += count
             buckets.append((str(bound), total))
-        lag = HistogramMetricFamily("stepknot_loop_turn_seconds", "How long a turn kept everything else waiting")
+        lag = HistogramMetricFamily(
+            "stepknot_loop_turn_seconds", "How long a turn kept everything else waiting"
+        )
         lag.add_metric([], buckets, loop.lag_sum)
         return [*found, lag]
--- a/stepknot/broker/subsetting.py
+++ b/stepknot/broker/subsetting.py
@@ -30,20 +30,37 @@
 MAX_TOLD = 8  # cells with an event of their own: of more that change in one go, one event says how many and why
 MAX_NAMED = 16  # nodes named in an event, of each kind; the numbers are told in full
 TELL_WITHIN = 1.0  # seconds after which changes are told though the work goes on
-COLUMNS = ("listed", "live", "warm", "cold", "draining")  # of a zone's nodes: on the list, and in use
+COLUMNS = (
+    "listed",
+    "live",
+    "warm",
+    "cold",
+    "draining",
+)  # of a zone's nodes: on the list, and in use
 Log = Callable[..., None]
 
 
 class Subsetting:
     """Stands between `Drained` and the core: `take` is where the list comes in, `on_list` where the subset goes."""
 
-    def __init__(self, loop: Loop, settings: SubsetSettings, fleet: Settings, listed: Drained,
-                 on_list: Callable[[ListReceived], None], log: Log) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        settings: SubsetSettings,
+        fleet: Settings,
+        listed: Drained,
+        on_list: Callable[[ListReceived], None],
+        log: Log,
+    ) -> None:
         self.loop, self.listed, self.on_list, self.log = loop, listed, on_list, log
         self.settings = settings
-        self.subset = Subset(settings, Shape(fleet.cells, fleet.reach, fleet.rules.cold_time), fleet.instances)
+        self.subset = Subset(
+            settings, Shape(fleet.cells, fleet.reach, fleet.rules.cold_time), fleet.instances
+        )
         self.off = ""  # why the whole list is used
-        self.ready: deque[ListReceived] = deque()  # for the core, one a turn; of MAX_HANDED entries at the most
+        self.ready: deque[ListReceived] = (
+            deque()
+        )  # for the core, one a turn; of MAX_HANDED entries at the most
         self.untold: deque[Changed] = deque(maxlen=MAX_TOLD)  # the first of those in `tally`
         self.tally: Counter[Cause] = Counter()
         self.tally_nodes: Counter[str] = Counter()
@@ -157,7 +174,9 @@
     def whole(self, kind: ListKind, entries: Iterable[ServerEntry]) -> ListReceived:
         """As without a subset: no source of a list tells `sharers`, a cold node's budget is all brokers'. Only this
         broker itself is still left out."""
-        return ListReceived(kind, tuple(entry for entry in entries if entry.server not in self.settings.own))
+        return ListReceived(
+            kind, tuple(entry for entry in entries if entry.server not in self.settings.own)
+        )
 
     # --- what is told
 
@@ -178,13 +197,25 @@
         cells = self.tally.total()
         if cells <= MAX_TOLD:
             for each in self.untold:
-                self.log("subset_changed", cell=each.cell, cause=each.cause.value, quota=each.quota,
-                         entered=list(each.entered[:MAX_NAMED]), left=list(each.left[:MAX_NAMED]),
-                         entered_count=len(each.entered), left_count=len(each.left))
+                self.log(
+                    "subset_changed",
+                    cell=each.cell,
+                    cause=each.cause.value,
+                    quota=each.quota,
+                    entered=list(each.entered[:MAX_NAMED]),
+                    left=list(each.left[:MAX_NAMED]),
+                    entered_count=len(each.entered),
+                    left_count=len(each.left),
+                )
         else:
-            self.log("subset_changed", cells=cells, causes={cause.value: count for cause, count in self.tally.items()},
-                     first_cells=[each.cell for each in self.untold], entered_count=self.tally_nodes["entered"],
-                     left_count=self.tally_nodes["left"])
+            self.log(
+                "subset_changed",
+                cells=cells,
+                causes={cause.value: count for cause, count in self.tally.items()},
+                first_cells=[each.cell for each in self.untold],
+                entered_count=self.tally_nodes["entered"],
+                left_count=self.tally_nodes["left"],
+            )
         self.untold.clear()
         self.tally.clear()
         self.tally_nodes.clear()
@@ -206,7 +237,11 @@
         held: list[dict[str, Any]] = []
         until = now + SLICE
         if self.off:
-            return {"identity": self.settings.identity, "off": self.off, "nodes": len(self.listed.entries)}
+            return {
+                "identity": self.settings.identity,
+                "off": self.off,
+                "nodes": len(self.listed.entries),
+            }
         for cell in list(subset.index.cells.values()):
             for entry in cell.entries:
                 row = rows.setdefault(entry.zone, Counter())
@@ -215,8 +250,15 @@
             for entry in cell.held.values():
                 rows.setdefault(entry.zone, Counter())[self.state(entry, now)] += 1
                 if with_held:
-                    held.append({"server": entry.server, "zone": entry.zone, "cell": entry.cell,
-                                 "state": self.state(entry, now), "sharers": round(entry.sharers, 3)})
+                    held.append(
+                        {
+                            "server": entry.server,
+                            "zone": entry.zone,
+                            "cell": entry.cell,
+                            "state": self.state(entry, now),
+                            "sharers": round(entry.sharers, 3),
+                        }
+                    )
             if self.loop.clock() >= until:
                 yield from self.loop.sleep(NEXT_TURN)
                 until = self.loop.clock() + SLICE
@@ -226,13 +268,24 @@
         subset, tier, quotas = self.subset, self.subset.index.tier, self.quotas()
         settings = self.settings
         return {
-            "identity": settings.identity, "zone": settings.zone, "size": settings.size, "holders": settings.holders,
-            "near": settings.near, "instances": subset.instances, "off": "", "busy": subset.busy,
-            "cells": len(quotas), "quota_least": min(quotas, default=0), "quota_greatest": max(quotas, default=0),
-            "left_out": subset.left_out, "longest_slice": round(self.longest_slice, 6),
+            "identity": settings.identity,
+            "zone": settings.zone,
+            "size": settings.size,
+            "holders": settings.holders,
+            "near": settings.near,
+            "instances": subset.instances,
+            "off": "",
+            "busy": subset.busy,
+            "cells": len(quotas),
+            "quota_least": min(quotas, default=0),
+            "quota_greatest": max(quotas, default=0),
+            "left_out": subset.left_out,
+            "longest_slice": round(self.longest_slice, 6),
             "changes": {cause.value: self.changed[cause] for cause in Cause},
-            "zones": [{"zone": zone, "tier": tier(zone), **{key: rows[zone][key] for key in COLUMNS}}
-                      for zone in sorted(rows, key=lambda each: (tier(each), each))],
+            "zones": [
+                {"zone": zone, "tier": tier(zone), **{key: rows[zone][key] for key in COLUMNS}}
+                for zone in sorted(rows, key=lambda each: (tier(each), each))
+            ],
         }
 
     def why(self, server: str) -> dict[str, Any] | None:
@@ -243,7 +296,9 @@
         return asdict(found) if found is not None else None
 
     def collect(self) -> list[Metric]:
-        off = GaugeMetricFamily("stepknot_subset_off", "Whether the whole list is used for a defect", bool(self.off))
+        off = GaugeMetricFamily(
+            "stepknot_subset_off", "Whether the whole list is used for a defect", bool(self.off)
+        )
         return [off] if self.off else [off, *self.measures()]
 
     def measures(self) -> list[Metric]:
@@ -252,21 +307,55 @@
         held = GaugeMetricFamily("stepknot_subset_held", "Nodes in use, by state", labels=["state"])
         for state in ("warm", "cold", "draining"):
             held.add_metric([state], states[state])
-        changes = CounterMetricFamily("stepknot_subset_changes", "Cells that changed, by cause", labels=["cause"])
+        changes = CounterMetricFamily(
+            "stepknot_subset_changes", "Cells that changed, by cause", labels=["cause"]
+        )
         for cause in Cause:
             changes.add_metric([cause.name.lower()], self.changed[cause])
-        return [held, changes, CounterMetricFamily(
-            "stepknot_subset_left_out", "Entries that name this broker or a cell that no shard has", subset.left_out),
-            *(GaugeMetricFamily(f"stepknot_subset_{name}", text, value) for name, value, text in (
-                ("listed", len(subset.index.where), "Nodes on the list"),
-                ("live", sum(cell.live for cell in subset.index.cells.values()), "Live nodes on the list"),
-                ("cells", len(quotas), "Cells with nodes"),
-                ("quota_least", min(quotas, default=0), "Warm nodes wanted of a cell, the least"),
-                ("quota_greatest", max(quotas, default=0), "Warm nodes wanted of a cell, the greatest"),
-                ("longest_slice_seconds", self.longest_slice, "The longest that a turn was held up so far")))]
+        return [
+            held,
+            changes,
+            CounterMetricFamily(
+                "stepknot_subset_left_out",
+                "Entries that name this broker or a cell that no shard has",
+                subset.left_out,
+            ),
+            *(
+                GaugeMetricFamily(f"stepknot_subset_{name}", text, value)
+                for name, value, text in (
+                    ("listed", len(subset.index.where), "Nodes on the list"),
+                    (
+                        "live",
+                        sum(cell.live for cell in subset.index.cells.values()),
+                        "Live nodes on the list",
+                    ),
+                    ("cells", len(quotas), "Cells with nodes"),
+                    (
+                        "quota_least",
+                        min(quotas, default=0),
+                        "Warm nodes wanted of a cell, the least",
+                    ),
+                    (
+                        "quota_greatest",
+                        max(quotas, default=0),
+                        "Warm nodes wanted of a cell, the greatest",
+                    ),
+                    (
+                        "longest_slice_seconds",
+                        self.longest_slice,
+                        "The longest that a turn was held up so far",
+                    ),
+                )
+            ),
+        ]
 
 
 def parts(event: ListReceived) -> list[ListReceived]:
     """The same, in pieces of `MAX_HANDED`; those after the first are changes to it."""
-    first, *rest = [event.entries[at:at + MAX_HANDED] for at in range(0, len(event.entries), MAX_HANDED)] or [()]
-    return [ListReceived(event.kind, first), *(ListReceived(ListKind.CHANGES, each) for each in rest)]
+    first, *rest = [
+        event.entries[at : at + MAX_HANDED] for at in range(0, len(event.entries), MAX_HANDED)
+    ] or [()]
+    return [
+        ListReceived(event.kind, first),
+        *(ListReceived(ListKind.CHANGES, each) for each in rest),
+    ]
--- a/stepknot/broker/voterstore.py
+++ b/stepknot/broker/voterstore.py
@@ -49,8 +49,8 @@
     head = len(MAGIC) + len(VERSION)
     if not data.startswith(MAGIC) or len(data) < head + DIGEST:
         raise Damaged(f"{len(data)} bytes that do not begin as a voter's state does")
-    version, body = data[len(MAGIC):head], data[head + DIGEST:]
-    if digest(version, body) != data[head:head + DIGEST]:
+    version, body = data[len(MAGIC) : head], data[head + DIGEST :]
+    if digest(version, body) != data[head : head + DIGEST]:
         raise Damaged("its checksum is wrong")
     if version != VERSION:
         raise Unfit(f"written by another version, {version!r}; this one reads {VERSION!r}")
@@ -78,8 +78,10 @@
             os.replace(self.path, self.path.with_suffix(".damaged"))
             return None, str(error)
         if (saved.fleet, saved.voter) != (self.fleet, self.voter):
-            raise Unfit(f"{self.path} is the state of voter {saved.voter} in fleet {saved.fleet}, not of "
-                        f"{self.voter} in {self.fleet}")
+            raise Unfit(
+                f"{self.path} is the state of voter {saved.voter} in fleet {saved.fleet}, not of "
+                f"{self.voter} in {self.fleet}"
+            )
         return saved, ""
 
     def found(self) -> None:
--- a/stepknot/cli/logs.py
+++ b/stepknot/cli/logs.py
@@ -14,14 +14,19 @@
 
 def make_log(level: str, **bound: object) -> Callable[..., None]:
     structlog.configure(
-        processors=[structlog.processors.TimeStamper(fmt="iso", utc=True), structlog.processors.add_log_level,
-                    structlog.processors.format_exc_info, structlog.processors.JSONRenderer()],
+        processors=[
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            structlog.processors.add_log_level,
+            structlog.processors.format_exc_info,
+            structlog.processors.JSONRenderer(),
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
         logger_factory=structlog.WriteLoggerFactory(sys.stderr),
     )
     log = structlog.get_logger().bind(**bound)
     debug, info, error = log.debug, log.info, log.error
     if level != "debug":  # not worth a call for each query
+
         def debug(event: str, **fields: object) -> None:
             return None
 
--- a/stepknot/cli/main.py
+++ b/stepknot/cli/main.py
@@ -74,8 +74,13 @@
     settings = read_config(config)
     if listen:
         settings = replace(settings, listen=listen)
-    sys.exit(run(settings, make_log(log_level, broker=f"{settings.listen[0]}:{settings.listen[1]}"),
-                 lambda: load(config)))
+    sys.exit(
+        run(
+            settings,
+            make_log(log_level, broker=f"{settings.listen[0]}:{settings.listen[1]}"),
+            lambda: load(config),
+        )
+    )
 
 
 @cli.command()
@@ -104,33 +109,56 @@
         settings = load(config)
     except ConfigError as error:
         if as_json:
-            rows = [{"file": each.file, "line": each.line, "key": each.key, "expected": each.expected}
-                    for each in error.problems]
+            rows = [
+                {"file": each.file, "line": each.line, "key": each.key, "expected": each.expected}
+                for each in error.problems
+            ]
             click.echo(orjson.dumps({"ok": False, "problems": rows}))
         else:
             for problem in error.problems:
                 click.echo(f"error: {problem}", err=True)
         raise SystemExit(2) from None
     shards = sum(index.shards for index in settings.indices.values())
-    summary = {"ok": True, "classes": sorted(settings.settings.classes), "indices": sorted(settings.indices),
-               "shards": shards, "cells": settings.settings.cells, "brokers": settings.settings.instances,
-               "subset": subset_summary(settings),
-               "box_list": str(settings.list_file), "box_list_found": settings.list_file.exists()}
+    summary = {
+        "ok": True,
+        "classes": sorted(settings.settings.classes),
+        "indices": sorted(settings.indices),
+        "shards": shards,
+        "cells": settings.settings.cells,
+        "brokers": settings.settings.instances,
+        "subset": subset_summary(settings),
+        "box_list": str(settings.list_file),
+        "box_list_found": settings.list_file.exists(),
+    }
     if as_json:
         click.echo(orjson.dumps(summary))
     else:
-        click.echo(f"ok: {len(summary['classes'])} classes, {len(summary['indices'])} indices with {shards} shards "  # type: ignore[arg-type]
-                   f"in {settings.settings.cells} cells, {settings.settings.instances} brokers, "
-                   + ("all nodes used" if settings.subset is None else
-                      f"a subset: {settings.subset.size} replicas a shard, as {settings.subset.identity}"))
+        click.echo(
+            f"ok: {len(summary['classes'])} classes, {len(summary['indices'])} indices with {shards} shards "  # type: ignore[arg-type]
+            f"in {settings.settings.cells} cells, {settings.settings.instances} brokers, "
+            + (
+                "all nodes used"
+                if settings.subset is None
+                else f"a subset: {settings.subset.size} replicas a shard, as {settings.subset.identity}"
+            )
+        )
 
 
 def subset_summary(settings: Config) -> dict[str, Any] | None:
     """None where all nodes are used."""
     found = settings.subset
-    return None if found is None else {
-        "identity": found.identity, "size": found.size, "holders": found.holders, "near": found.near,
-        "zone": found.zone, "tiers": found.tiers}
+    return (
+        None
+        if found is None
+        else {
+            "identity": found.identity,
+            "size": found.size,
+            "holders": found.holders,
+            "near": found.near,
+            "zone": found.zone,
+            "tiers": found.tiers,
+        }
+    )
 
 
 @cli.command()
@@ -153,23 +181,54 @@
         click.echo(f"error: {config} has no graphql block", err=True)
         raise SystemExit(2)
     sdl = subgraph_sdl(settings.graphql)
-    click.echo(orjson.dumps({"sdl": sdl, "limits": asdict(settings.graphql.limits)}) if as_json else sdl, nl=as_json)
+    click.echo(
+        orjson.dumps({"sdl": sdl, "limits": asdict(settings.graphql.limits)}) if as_json else sdl,
+        nl=as_json,
+    )
 
 
 @cli.command()
 @click.argument("config", type=CONFIG)
 @click.option("--listen", type=Address(), required=True, help="Where brokers reach it.")
-@click.option("--control", type=int, required=True, help="Port of its control socket: faults are commanded there.")
+@click.option(
+    "--control",
+    type=int,
+    required=True,
+    help="Port of its control socket: faults are commanded there.",
+)
 @click.option("--cell", type=int, required=True, help="Which shards it holds: those of this cell.")
 @click.option("--zone", default="", help="Where it stands.")
-@click.option("--documents", type=int, default=100_000, show_default=True, help="Documents of the whole corpus.")
-@click.option("--work-ms", type=float, default=4.0, show_default=True, help="Modelled work of a part.")
+@click.option(
+    "--documents",
+    type=int,
+    default=100_000,
+    show_default=True,
+    help="Documents of the whole corpus.",
+)
+@click.option(
+    "--work-ms", type=float, default=4.0, show_default=True, help="Modelled work of a part."
+)
 @click.option("--cores", type=int, default=2, show_default=True)
-@click.option("--cold", is_flag=True, help="Start cold: slow at first, and it falls over if sent too much.")
+@click.option(
+    "--cold", is_flag=True, help="Start cold: slow at first, and it falls over if sent too much."
+)
 @click.option("--seed", type=int, default=0)
-@click.option("--tap", type=click.Path(path_type=Path), help="Write what its sockets see to this file.")
-def box(config: Path, listen: tuple[str, int], control: int, cell: int, zone: str, documents: int, work_ms: float,
-        cores: int, cold: bool, seed: int, tap: Path | None) -> None:
+@click.option(
+    "--tap", type=click.Path(path_type=Path), help="Write what its sockets see to this file."
+)
+def box(
+    config: Path,
+    listen: tuple[str, int],
+    control: int,
+    cell: int,
+    zone: str,
+    documents: int,
+    work_ms: float,
+    cores: int,
+    cold: bool,
+    seed: int,
+    tap: Path | None,
+) -> None:
     """Run a stand-in box: a small search engine that holds the shards of its cell, and fails on command.
 
     \b
@@ -178,14 +237,39 @@
     """
     from stepknot.lab.box import BoxPlan, run_box
 
-    plan = BoxPlan(listen[0], listen[1], control, cell, zone, documents, work_ms / 1000, cores, cold=cold, seed=seed,
-                   tap=tap)
-    sys.exit(run_box(read_config(config), plan, lambda each: print(
-        f'{{"box": "{each.address}", "documents": {sum(map(len, each.shards.values()))}}}', flush=True)))
+    plan = BoxPlan(
+        listen[0],
+        listen[1],
+        control,
+        cell,
+        zone,
+        documents,
+        work_ms / 1000,
+        cores,
+        cold=cold,
+        seed=seed,
+        tap=tap,
+    )
+    sys.exit(
+        run_box(
+            read_config(config),
+            plan,
+            lambda each: print(
+                f'{{"box": "{each.address}", "documents": {sum(map(len, each.shards.values()))}}}',
+                flush=True,
+            ),
+        )
+    )
 
 
 @cli.command()
-@click.option("--port", type=int, default=9200, show_default=True, help="First broker's port; 0 takes free ones.")
+@click.option(
+    "--port",
+    type=int,
+    default=9200,
+    show_default=True,
+    help="First broker's port; 0 takes free ones.",
+)
 @click.option("--seconds", type=float, help="End after this long; default: at a signal.")
 @click.option("--documents", type=int, default=100_000, show_default=True)
 @click.option("--brokers", type=int, default=2, show_default=True)
@@ -236,7 +320,11 @@
 @cli.command()
 @click.argument("admin", type=Address())
 @click.option("--json", "as_json", is_flag=True, help="Print what the broker says as it is.")
-@click.option("--watch", type=click.FloatRange(min=0.1), help="Ask again every so many seconds until interrupted.")
+@click.option(
+    "--watch",
+    type=click.FloatRange(min=0.1),
+    help="Ask again every so many seconds until interrupted.",
+)
 @click.option("--why", metavar="NAME", help="The evidence for this member's state.")
 def peers(admin: tuple[str, int], as_json: bool, watch: float | None, why: str | None) -> None:
     """Show whom the broker with the admin socket ADMIN holds to be a member of its fleet, and how sure it is.
@@ -270,9 +358,20 @@
 
 @cli.command()
 @click.argument("admin", type=Address())
-@click.option("--json", "as_json", is_flag=True, help="Print what the broker says as it is, with each node in use.")
-@click.option("--watch", type=click.FloatRange(min=0.1), help="Ask again every so many seconds until interrupted.")
-@click.option("--why", metavar="NODE", help="Why this node, by its address on the list, is or is not in use.")
+@click.option(
+    "--json",
+    "as_json",
+    is_flag=True,
+    help="Print what the broker says as it is, with each node in use.",
+)
+@click.option(
+    "--watch",
+    type=click.FloatRange(min=0.1),
+    help="Ask again every so many seconds until interrupted.",
+)
+@click.option(
+    "--why", metavar="NODE", help="Why this node, by its address on the list, is or is not in use."
+)
 def subset(admin: tuple[str, int], as_json: bool, watch: float | None, why: str | None) -> None:
     """Show which nodes of the list the broker with the admin socket ADMIN uses, by zone.
 
@@ -307,7 +406,9 @@
 @click.argument("admin", type=Address())
 @click.option("--json", "as_json", is_flag=True, help="Print what the broker says as it is.")
 @click.option("--why", metavar="JOB", help="The evidence for who owns this job.")
-@click.option("--yield", "job", metavar="JOB", help="Have the broker hand this job over to the next in line.")
+@click.option(
+    "--yield", "job", metavar="JOB", help="Have the broker hand this job over to the next in line."
+)
 def owner(admin: tuple[str, int], as_json: bool, why: str | None, job: str | None) -> None:
     """Show who owns each job of the fleet, as the broker with the admin socket ADMIN knows it.
 
@@ -332,7 +433,10 @@
     if why is not None:
         story = owner_story(found, why)
         if story is None:
-            click.echo(f"error: no job {why}; known: {', '.join(row['job'] for row in found['jobs'])}", err=True)
+            click.echo(
+                f"error: no job {why}; known: {', '.join(row['job'] for row in found['jobs'])}",
+                err=True,
+            )
             raise SystemExit(2)
         text = story
     click.echo(orjson.dumps(found) if as_json else text)
@@ -356,10 +460,14 @@
 
     settings = read_config(config)
     if settings.owners is None or settings.owners.state is None or settings.peers is None:
-        click.echo(f"error: {config}: this broker is none of the voters of an ownership block", err=True)
+        click.echo(
+            f"error: {config}: this broker is none of the voters of an ownership block", err=True
+        )
         raise SystemExit(2)
     try:
-        VoterStore(settings.owners.state, settings.owners.settings.fleet, settings.peers.name).found()
+        VoterStore(
+            settings.owners.state, settings.owners.settings.fleet, settings.peers.name
+        ).found()
     except OSError as error:
         click.echo(f"error: {config}: ownership.state: {error}", err=True)
         raise SystemExit(2) from None
@@ -393,15 +501,32 @@
 @cli.command()
 @click.argument("admin", type=Address())
 @click.option("--zone", help="Drain the boxes of this zone, one after the other.")
-@click.option("--at-most", type=click.IntRange(1, 16), default=1, show_default=True, help="So many out at once.")
-@click.option("--every", type=Seconds(), default="5s", show_default=True, help="For so long each is out.")
+@click.option(
+    "--at-most",
+    type=click.IntRange(1, 16),
+    default=1,
+    show_default=True,
+    help="So many out at once.",
+)
+@click.option(
+    "--every", type=Seconds(), default="5s", show_default=True, help="For so long each is out."
+)
 @click.option("--pause-if", type=Over(), help="Halt while more queries fail, such as 'failing>2%'.")
 @click.option("--force", is_flag=True, help="Also where a box is the last one that holds its data.")
 @click.option("--stop", is_flag=True, help="No further step; what is out stays out.")
 @click.option("--go-on", is_flag=True, help="Go on after --stop.")
 @click.option("--undo", is_flag=True, help="Take all back at once, and end it.")
-def drain(admin: tuple[str, int], zone: str | None, at_most: int, every: float, pause_if: float | None, force: bool,
-          stop: bool, go_on: bool, undo: bool) -> None:
+def drain(
+    admin: tuple[str, int],
+    zone: str | None,
+    at_most: int,
+    every: float,
+    pause_if: float | None,
+    force: bool,
+    stop: bool,
+    go_on: bool,
+    undo: bool,
+) -> None:
     """Drain the boxes of a zone in steps, by any broker of the fleet: the one that owns the job does it.
 
     A drained box gets nothing new; after its time it is taken back, and the next one goes. The drain outlives its
@@ -423,11 +548,22 @@
         raise click.UsageError("one of --zone, --stop, --go-on, --undo")
     word: dict[str, Any] = {"stop": stop, "go_on": go_on, "undo": undo}
     if zone is not None:
-        word["drain"] = {"zone": zone, "at_most": at_most, "every": every, "force": force,
-                         "failing": 1.0 if pause_if is None else pause_if}
+        word["drain"] = {
+            "zone": zone,
+            "at_most": at_most,
+            "every": every,
+            "force": force,
+            "failing": 1.0 if pause_if is None else pause_if,
+        }
     try:
         if said:
-            ask(admin, f"/owner/order?job=drains&number={os.urandom(8).hex()}", "POST", orjson.dumps(word), 60.0)
+            ask(
+                admin,
+                f"/owner/order?job=drains&number={os.urandom(8).hex()}",
+                "POST",
+                orjson.dumps(word),
+                60.0,
+            )
         found = ask(admin, "/owner")
     except OSError as error:
         click.echo(f"error: {admin[0]}:{admin[1]}: {error}", err=True)
@@ -443,8 +579,15 @@
 @click.option("--allow", metavar="NETWORK", help="Count those from there as known.")
 @click.option("--disallow", metavar="NETWORK")
 @click.option("--seconds", type=float, help="For so long.  [default: until it is taken back]")
-def admission(admin: tuple[str, int], as_json: bool, ban: str | None, unban: str | None, allow: str | None,
-              disallow: str | None, seconds: float | None) -> None:
+def admission(
+    admin: tuple[str, int],
+    as_json: bool,
+    ban: str | None,
+    unban: str | None,
+    allow: str | None,
+    disallow: str | None,
+    seconds: float | None,
+) -> None:
     """Show whom the broker with the admin socket ADMIN lets in: budgets, decisions and why, and who does most.
 
     Bans and allowances are kept over a restart where the settings name a `state` file.
@@ -460,9 +603,16 @@
 
     found: dict[str, Any] = {}
     try:
-        for change, network in (("ban", ban), ("unban", unban), ("allow", allow), ("disallow", disallow)):
+        for change, network in (
+            ("ban", ban),
+            ("unban", unban),
+            ("allow", allow),
+            ("disallow", disallow),
+        ):
             if network is not None:
-                query = urlencode({"network": network} | ({"seconds": seconds} if seconds is not None else {}))
+                query = urlencode(
+                    {"network": network} | ({"seconds": seconds} if seconds is not None else {})
+                )
                 found = ask(admin, f"/admission/{change}?{query}", "POST")
         if not found:
             found = ask(admin, "/admission")
@@ -474,19 +624,41 @@
 
 @cli.command()
 @click.argument("script", type=CONFIG, required=False)
-@click.option("--out", type=click.Path(path_type=Path), default=Path("day-out"), show_default=True,
-              help="Folder for records, logs and settings.")
+@click.option(
+    "--out",
+    type=click.Path(path_type=Path),
+    default=Path("day-out"),
+    show_default=True,
+    help="Folder for records, logs and settings.",
+)
 @click.option("--seconds", type=float, help="Length of the day.  [default: the script's, or 30]")
 @click.option("--rate", type=float, help="Queries a second.  [default: the script's, or 40]")
-@click.option("--seed", type=int, default=1, show_default=True, help="Of traffic and of who is struck.")
+@click.option(
+    "--seed", type=int, default=1, show_default=True, help="Of traffic and of who is struck."
+)
 @click.option("--brokers", type=int, default=2, show_default=True)
 @click.option("--boxes", type=int, default=12, show_default=True)
 @click.option("--documents", type=int, default=6_000, show_default=True)
-@click.option("--journal", type=CONFIG, help="Replay the kinds of trouble of a bench day from this journal entry.")
+@click.option(
+    "--journal",
+    type=CONFIG,
+    help="Replay the kinds of trouble of a bench day from this journal entry.",
+)
 @click.option("--journal-day", default="", help="Which of its days.  [default: the first]")
 @click.option("--json", "as_json", is_flag=True, help="Print the audit as JSON.")
-def day(script: Path | None, out: Path, seconds: float | None, rate: float | None, seed: int, brokers: int, boxes: int,
-        documents: int, journal: Path | None, journal_day: str, as_json: bool) -> None:
+def day(
+    script: Path | None,
+    out: Path,
+    seconds: float | None,
+    rate: float | None,
+    seed: int,
+    brokers: int,
+    boxes: int,
+    documents: int,
+    journal: Path | None,
+    journal_day: str,
+    as_json: bool,
+) -> None:
     """Let a bad day happen to real processes, then audit it. Exit code 1 where a rule was broken.
 
     SCRIPT is an HCL file of steps; without one, a built-in day in which everything goes wrong once.
@@ -500,8 +672,9 @@
     say = progress()
     try:
         if journal is not None:
-            plan, left_out = scripts.from_journal(journal, journal_day, seconds or scripts.SECONDS,
-                                                  rate or scripts.RATE)
+            plan, left_out = scripts.from_journal(
+                journal, journal_day, seconds or scripts.SECONDS, rate or scripts.RATE
+            )
             if left_out:
                 say(f"not modelled here and left out: {', '.join(left_out)}")
         elif script is not None:
@@ -525,29 +698,112 @@
 
 
 @cli.command()
-@click.option("--real", type=click.IntRange(3, 9), default=3, show_default=True, help="Brokers that are processes.")
-@click.option("--members", type=click.IntRange(12, 1000), default=100, show_default=True, help="Simulated members.")
+@click.option(
+    "--real",
+    type=click.IntRange(3, 9),
+    default=3,
+    show_default=True,
+    help="Brokers that are processes.",
+)
+@click.option(
+    "--members",
+    type=click.IntRange(12, 1000),
+    default=100,
+    show_default=True,
+    help="Simulated members.",
+)
 @click.option("--nodes", type=click.IntRange(12, 400), default=24, show_default=True)
 @click.option("--shards", type=click.IntRange(4, 1024), default=12, show_default=True)
-@click.option("--seconds", type=click.FloatRange(min=5.0), default=180.0, show_default=True,
-              help="The longest that it may take; what is not reached by then is reported so.")
-@click.option("--seed", type=int, default=1, show_default=True, help="Of traffic and of who is struck.")
-@click.option("--rate", type=click.FloatRange(min=1.0), default=20.0, show_default=True, help="Queries a second.")
-@click.option("--period", type=Seconds(), default="500ms", show_default=True, help="Of membership's heartbeats.")
-@click.option("--pause", type=Seconds(), default="5s", show_default=True, help="For which a member may stand still.")
-@click.option("--voters", type=click.Choice(["0", "3", "5", "7"]), default="0", show_default=True,
-              help="Of ownership, three of them real brokers; without any there is no ownership.")
-@click.option("--start-within", type=Seconds(), default="1s", show_default=True, help="For all members to start.")
-@click.option("--send-rate", type=click.IntRange(min=500), help="Bytes a second that a member may send.  "
-              "[default: membership's own, scaled to the period]")
-@click.option("--out", type=click.Path(path_type=Path), default=Path("scale-out"), show_default=True,
-              help="Folder for records, logs and settings.")
-@click.option("--json", "json_file", type=click.Path(dir_okay=False, path_type=Path), help="All figures, in this file.")
-@click.option("--config-extra", type=CONFIG, help="HCL for the end of each real broker's settings; {name} is its name.")
-@click.option("--model/--no-model", default=True, show_default=True, help="Run the model beside it.")
-def scale(real: int, members: int, nodes: int, shards: int, seconds: float, seed: int, rate: float, period: float,
-          pause: float, voters: str, start_within: float, send_rate: int | None, out: Path, json_file: Path | None,
-          config_extra: Path | None, model: bool) -> None:
+@click.option(
+    "--seconds",
+    type=click.FloatRange(min=5.0),
+    default=180.0,
+    show_default=True,
+    help="The longest that it may take; what is not reached by then is reported so.",
+)
+@click.option(
+    "--seed", type=int, default=1, show_default=True, help="Of traffic and of who is struck."
+)
+@click.option(
+    "--rate",
+    type=click.FloatRange(min=1.0),
+    default=20.0,
+    show_default=True,
+    help="Queries a second.",
+)
+@click.option(
+    "--period",
+    type=Seconds(),
+    default="500ms",
+    show_default=True,
+    help="Of membership's heartbeats.",
+)
+@click.option(
+    "--pause",
+    type=Seconds(),
+    default="5s",
+    show_default=True,
+    help="For which a member may stand still.",
+)
+@click.option(
+    "--voters",
+    type=click.Choice(["0", "3", "5", "7"]),
+    default="0",
+    show_default=True,
+    help="Of ownership, three of them real brokers; without any there is no ownership.",
+)
+@click.option(
+    "--start-within",
+    type=Seconds(),
+    default="1s",
+    show_default=True,
+    help="For all members to start.",
+)
+@click.option(
+    "--send-rate",
+    type=click.IntRange(min=500),
+    help="Bytes a second that a member may send.  "
+    "[default: membership's own, scaled to the period]",
+)
+@click.option(
+    "--out",
+    type=click.Path(path_type=Path),
+    default=Path("scale-out"),
+    show_default=True,
+    help="Folder for records, logs and settings.",
+)
+@click.option(
+    "--json",
+    "json_file",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="All figures, in this file.",
+)
+@click.option(
+    "--config-extra",
+    type=CONFIG,
+    help="HCL for the end of each real broker's settings; {name} is its name.",
+)
+@click.option(
+    "--model/--no-model", default=True, show_default=True, help="Run the model beside it."
+)
+def scale(
+    real: int,
+    members: int,
+    nodes: int,
+    shards: int,
+    seconds: float,
+    seed: int,
+    rate: float,
+    period: float,
+    pause: float,
+    voters: str,
+    start_within: float,
+    send_rate: int | None,
+    out: Path,
+    json_file: Path | None,
+    config_extra: Path | None,
+    model: bool,
+) -> None:
     """Play troubles on real brokers among simulated members and nodes, and measure what control costs there.
 
     In their order: start of all, a crash of some members, a stall, a cut, a zone's loss and return, a rolling restart
@@ -564,14 +820,29 @@
     from stepknot.lab.scale_report import table
     from stepknot.lab.scale_run import run_scale
 
-    plan = ScalePlan(out, real, members, nodes, shards, seconds, seed, rate, period=period, pause=pause,
-                     start_within=start_within, voters=int(voters), send_rate=send_rate or 0,
-                     extra=config_extra.read_text() if config_extra is not None else "")
+    plan = ScalePlan(
+        out,
+        real,
+        members,
+        nodes,
+        shards,
+        seconds,
+        seed,
+        rate,
+        period=period,
+        pause=pause,
+        start_within=start_within,
+        voters=int(voters),
+        send_rate=send_rate or 0,
+        extra=config_extra.read_text() if config_extra is not None else "",
+    )
     problem = refusal(plan, Machine.here())
     if problem:
         click.echo(f"error: {problem}", err=True)
         raise SystemExit(2)
-    signal.signal(signal.SIGTERM, lambda number, frame: sys.exit(128 + number))  # all that was started ends first
+    signal.signal(
+        signal.SIGTERM, lambda number, frame: sys.exit(128 + number)
+    )  # all that was started ends first
     result = run_scale(plan, progress(), model)
     if json_file is not None:
         json_file.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1) + b"\n")
--- a/stepknot/cli/serve.py
+++ b/stepknot/cli/serve.py
@@ -18,11 +18,18 @@
 def make(config: Config, log: Log, load_again: Callable[[], Config] | None = None) -> Service:
     make_graph = None
     if config.graphql is not None:
-        from stepknot.fronts.graphql.app import GraphFront  # not needed, and not loaded, where it is not served
+        from stepknot.fronts.graphql.app import (
+            GraphFront,
+        )  # not needed, and not loaded, where it is not served
 
         make_graph = lambda service: GraphFront(service.config, service.core, service.queries)  # noqa: E731
-    return Service(config, log, lambda service: SearchFront(
-        service.config, service.core, service.queries, service.metrics), make_graph=make_graph, load_again=load_again)
+    return Service(
+        config,
+        log,
+        lambda service: SearchFront(service.config, service.core, service.queries, service.metrics),
+        make_graph=make_graph,
+        load_again=load_again,
+    )
 
 
 def run(config: Config, log: Log, load_again: Callable[[], Config] | None = None) -> int:
--- a/stepknot/config/admission.py
+++ b/stepknot/config/admission.py
@@ -27,33 +27,53 @@
 
 def digest(value: Any) -> str:
     if not isinstance(value, str) or not re.fullmatch(r"[0-9a-f]{64}", value):
-        raise Bad("expected the SHA-256 of the key, 64 hexadecimal digits in lower case; never the key itself")
+        raise Bad(
+            "expected the SHA-256 of the key, 64 hexadecimal digits in lower case; never the key itself"
+        )
     return value
 
 
 TABLE = {
-    "enabled": Key(flag, True), "connections": Key(count(0), 0), "reserve": Key(number(0, 0.9), DEFAULT.reserve),
-    "per_address": Key(count(), DEFAULT.per_address), "per_v4_24": Key(count(), DEFAULT.per_v4_24),
-    "per_v6_64": Key(count(), DEFAULT.per_v6_64), "per_v6_56": Key(count(), DEFAULT.per_v6_56),
-    "known_factor": Key(number(1, 1000), DEFAULT.known_factor), "rate": Key(number(0.1), DEFAULT.rate),
-    "queries": Key(count(), DEFAULT.queries), "tenant_queries": Key(count(0), 0), "bytes": Key(size, DEFAULT.bytes),
-    "lane": Key(count(4), DEFAULT.lane), "lane_time": Key(duration, DEFAULT.lane_time),
-    "progress": Key(number(), DEFAULT.progress), "grace": Key(duration, DEFAULT.grace),
-    "idle_least": Key(duration, DEFAULT.idle_least), "conduct": Key(number(0), DEFAULT.conduct),
-    "conduct_kept": Key(count(), DEFAULT.conduct_kept), "tracked": Key(count(16), DEFAULT.tracked),
-    "memory": Key(duration, DEFAULT.memory), "listed": Key(networks, ()), "trusted": Key(networks, ()),
-    "proxy_protocol": Key(flag, False), "state": Key(text, ""),
+    "enabled": Key(flag, True),
+    "connections": Key(count(0), 0),
+    "reserve": Key(number(0, 0.9), DEFAULT.reserve),
+    "per_address": Key(count(), DEFAULT.per_address),
+    "per_v4_24": Key(count(), DEFAULT.per_v4_24),
+    "per_v6_64": Key(count(), DEFAULT.per_v6_64),
+    "per_v6_56": Key(count(), DEFAULT.per_v6_56),
+    "known_factor": Key(number(1, 1000), DEFAULT.known_factor),
+    "rate": Key(number(0.1), DEFAULT.rate),
+    "queries": Key(count(), DEFAULT.queries),
+    "tenant_queries": Key(count(0), 0),
+    "bytes": Key(size, DEFAULT.bytes),
+    "lane": Key(count(4), DEFAULT.lane),
+    "lane_time": Key(duration, DEFAULT.lane_time),
+    "progress": Key(number(), DEFAULT.progress),
+    "grace": Key(duration, DEFAULT.grace),
+    "idle_least": Key(duration, DEFAULT.idle_least),
+    "conduct": Key(number(0), DEFAULT.conduct),
+    "conduct_kept": Key(count(), DEFAULT.conduct_kept),
+    "tracked": Key(count(16), DEFAULT.tracked),
+    "memory": Key(duration, DEFAULT.memory),
+    "listed": Key(networks, ()),
+    "trusted": Key(networks, ()),
+    "proxy_protocol": Key(flag, False),
+    "state": Key(text, ""),
 }
 KEY = {"sha256": Key(digest)}
 
 
-def read_admission(checker: Checker, block: Block | None, held: int, folder: Path) -> AdmissionSettings | None:
+def read_admission(
+    checker: Checker, block: Block | None, held: int, folder: Path
+) -> AdmissionSettings | None:
     """None where there is no such block, or it is switched off. `held` is `request.held`."""
     got = checker.read(block, TABLE, "admission.")
     keys: dict[str, str] = {}
     for inner in block.blocks if block is not None else ():
         if inner.kind != "key" or len(inner.labels) != 1:
-            checker.wrong(inner.line, f"admission.{inner.kind}", 'unknown block; known here: key "NAME"')
+            checker.wrong(
+                inner.line, f"admission.{inner.kind}", 'unknown block; known here: key "NAME"'
+            )
             continue
         name = inner.labels[0]
         found = checker.read(inner, KEY, f"admission.key.{name}.")["sha256"]
--- a/stepknot/config/hcl.py
+++ b/stepknot/config/hcl.py
@@ -54,7 +54,9 @@
     except UnexpectedInput as error:
         context = error.get_context(text, 30).strip().split("\n")[0]
         expected = f"not HCL, near: {context}"
-        raise ConfigError([Problem(file, max(getattr(error, "line", 0), 0), "", expected)]) from None
+        raise ConfigError(
+            [Problem(file, max(getattr(error, "line", 0), 0), "", expected)]
+        ) from None
     return Reader(file).body(tree.children[0], Block("", [], 1))
 
 
@@ -72,7 +74,9 @@
             if node.data == "attribute":
                 key, line = str(node.children[0].children[0]), node.meta.line
                 if key in into.values:
-                    raise self.fail(line, key, f"given twice, first in line {into.values[key].line}")
+                    raise self.fail(
+                        line, key, f"given twice, first in line {into.values[key].line}"
+                    )
                 into.values[key] = Value(line, self.value(node.children[-1], key))
             elif node.data == "block":
                 into.blocks.append(self.block(node))
@@ -89,14 +93,21 @@
         return block
 
     def label(self, node: Any) -> str:
-        return str(node.children[0]) if node.data == "identifier" else str(self.string(node, "label"))
+        return (
+            str(node.children[0]) if node.data == "identifier" else str(self.string(node, "label"))
+        )
 
     def value(self, node: Any, key: str) -> Any:
         if isinstance(node, Token):
-            raise self.fail(node.line or 0, key, "a literal: string, number, true, false, list or object")
+            raise self.fail(
+                node.line or 0, key, "a literal: string, number, true, false, list or object"
+            )
         line = node.meta.line if not node.meta.empty else 0
-        children = [each for each in node.children if isinstance(each, Tree)
-                    and each.data != "new_line_or_comment"]
+        children = [
+            each
+            for each in node.children
+            if isinstance(each, Tree) and each.data != "new_line_or_comment"
+        ]
         match node.data:
             case "expr_term" if len(children) == 1:
                 return self.value(children[0], key)
@@ -106,7 +117,11 @@
                 return int(node.children[0])
             case "float_lit":
                 return float(node.children[0])
-            case "literal_value" | "identifier" if str(node.children[0]) in ("true", "false", "null"):
+            case "literal_value" | "identifier" if str(node.children[0]) in (
+                "true",
+                "false",
+                "null",
+            ):
                 return {"true": True, "false": False, "null": None}[str(node.children[0])]
             case "unary_op":
                 inner = self.value(children[-1], key)
@@ -115,7 +130,9 @@
             case "tuple":
                 return [self.value(each, key) for each in children]
             case "object":
-                pairs = [[part for part in each.children if isinstance(part, Tree)] for each in children]
+                pairs = [
+                    [part for part in each.children if isinstance(part, Tree)] for each in children
+                ]
                 return {self.object_key(pair[0]): self.value(pair[-1], key) for pair in pairs}
         raise self.fail(line, key, "a literal: string, number, true, false, list or object")
 
--- a/stepknot/config/peers.py
+++ b/stepknot/config/peers.py
@@ -31,11 +31,18 @@
 
 
 TABLE = {
-    "enabled": Key(flag, True), "name": Key(name, ""), "fleet": Key(name, DEFAULT.fleet),
-    "listen": Key(address), "advertise": Key(address, None), "seeds": Key(addresses, ()),
-    "period": Key(duration, DEFAULT.period), "pause": Key(duration, DEFAULT.pause),
-    "tombstone": Key(duration, DEFAULT.tombstone), "most": Key(count(8, 100_000), DEFAULT.most),
-    "rate": Key(size, int(DEFAULT.rate)), "rings": Key(count(2, 16), DEFAULT.rings),
+    "enabled": Key(flag, True),
+    "name": Key(name, ""),
+    "fleet": Key(name, DEFAULT.fleet),
+    "listen": Key(address),
+    "advertise": Key(address, None),
+    "seeds": Key(addresses, ()),
+    "period": Key(duration, DEFAULT.period),
+    "pause": Key(duration, DEFAULT.pause),
+    "tombstone": Key(duration, DEFAULT.tombstone),
+    "most": Key(count(8, 100_000), DEFAULT.most),
+    "rate": Key(size, int(DEFAULT.rate)),
+    "rings": Key(count(2, 16), DEFAULT.rings),
 }
 
 
@@ -49,8 +56,9 @@
     settings: PeerSettings
 
 
-def read_peers(checker: Checker, block: Block | None, listen: tuple[str, int] | None, instances: int | None
-               ) -> Peers | None:
+def read_peers(
+    checker: Checker, block: Block | None, listen: tuple[str, int] | None, instances: int | None
+) -> Peers | None:
     """None where there is no such block, or it is switched off."""
     if block is None:
         return None
@@ -59,20 +67,41 @@
         return None
 
     def wrong(key: str, expected: str) -> None:
-        checker.wrong(block.values[key].line if key in block.values else block.line, f"peers.{key}", expected)
+        checker.wrong(
+            block.values[key].line if key in block.values else block.line, f"peers.{key}", expected
+        )
 
     if not 0.05 <= got["period"] <= 10.0:
         wrong("period", 'expected from "50ms" to "10s"')
     if got["pause"] < 4 * got["period"]:
-        wrong("pause", "expected four periods or more: whoever stands still is suspect for that long first")
+        wrong(
+            "pause",
+            "expected four periods or more: whoever stands still is suspect for that long first",
+        )
     if got["tombstone"] < 10 * got["pause"]:
-        wrong("tombstone", "expected ten pauses or more: it tells for how long a cut-off broker may live on")
+        wrong(
+            "tombstone",
+            "expected ten pauses or more: it tells for how long a cut-off broker may live on",
+        )
     if got["advertise"] is not None and not got["advertise"][1]:
         wrong("advertise", "expected a port over 0")
     if got["advertise"] is None and got["listen"][0] in ("0.0.0.0", "::"):
         wrong("advertise", f"missing: others cannot send to {got['listen'][0]}")
     own = got["name"] or (f"{listen[0]}:{listen[1]}" if listen is not None else "broker")
-    return Peers(own, got["listen"], got["advertise"], PeerSettings(
-        fleet=got["fleet"], seeds=got["seeds"], configured=instances or 1, period=got["period"], pause=got["pause"],
-        tombstone=got["tombstone"], most=got["most"], rate=float(got["rate"]), burst=8.0 * got["rate"],
-        rings=got["rings"]))
+    return Peers(
+        own,
+        got["listen"],
+        got["advertise"],
+        PeerSettings(
+            fleet=got["fleet"],
+            seeds=got["seeds"],
+            configured=instances or 1,
+            period=got["period"],
+            pause=got["pause"],
+            tombstone=got["tombstone"],
+            most=got["most"],
+            rate=float(got["rate"]),
+            burst=8.0 * got["rate"],
+            rings=got["rings"],
+        ),
+    )
--- a/stepknot/config/readers.py
+++ b/stepknot/config/readers.py
@@ -61,9 +61,16 @@
 
 def number(least: float = 0.0, most: float = float("inf")) -> Read:
     def read(value: Any) -> float:
-        if not isinstance(value, (int, float)) or isinstance(value, bool) or not least <= value <= most:
-            raise Bad(f"expected a number from {least:g} to {most:g}" if most < float("inf")
-                      else f"expected a number of {least:g} or more")
+        if (
+            not isinstance(value, (int, float))
+            or isinstance(value, bool)
+            or not least <= value <= most
+        ):
+            raise Bad(
+                f"expected a number from {least:g} to {most:g}"
+                if most < float("inf")
+                else f"expected a number of {least:g} or more"
+            )
         return float(value)
 
     return read
@@ -94,8 +101,10 @@
 
 
 def tiers(value: Any) -> tuple[tuple[str, ...], ...]:
-    if not isinstance(value, list) or not all(isinstance(tier, list) and tier and all(
-            isinstance(name, str) for name in tier) for tier in value):
+    if not isinstance(value, list) or not all(
+        isinstance(tier, list) and tier and all(isinstance(name, str) for name in tier)
+        for tier in value
+    ):
         raise Bad('expected lists of zones, best first, such as [["a"], ["b", "c"]]')
     names = [name for tier in value for name in tier]
     if len(set(names)) != len(names):
@@ -155,7 +164,6 @@
             self.wrong(value.line, name, f"not understood: {value.value!r}")
         return None
 
-
     def persisted(self, block: Block, name: str, folder: Path) -> dict[str, str]:
         """A manifest of operations: their SHA-256 in hexadecimal to their text, as JSON."""
         if not name:
@@ -169,7 +177,11 @@
         good = isinstance(found, dict) and all(isinstance(each, str) for each in found.values())
         for key in found if good else ():
             if hashlib.sha256(found[key].encode()).hexdigest() != key:
-                self.wrong(line, "graphql.persisted_file", f"{key[:64]} is not the SHA-256 of its operation")
+                self.wrong(
+                    line,
+                    "graphql.persisted_file",
+                    f"{key[:64]} is not the SHA-256 of its operation",
+                )
         if not good:
             self.wrong(line, "graphql.persisted_file", "expected an object of SHA-256 to operation")
         return found if good else {}
--- a/stepknot/config/settings.py
+++ b/stepknot/config/settings.py
@@ -41,53 +41,117 @@
 
 OPERATIONS = ("search", "count", "get", "mget", "index", "create", "update", "delete", "bulk")
 MORE_OPERATIONS = {"entities": "mget"}  # those that go by another's class where none names them
-FIELD_TYPES = ("text", "keyword", "long", "integer", "short", "byte", "double", "float", "date", "boolean")
+FIELD_TYPES = (
+    "text",
+    "keyword",
+    "long",
+    "integer",
+    "short",
+    "byte",
+    "double",
+    "float",
+    "date",
+    "boolean",
+)
 # Blocks without a name.
-SINGLE = ("fleet", "zones", "rules", "limits", "boxes", "http", "request", "graphql", "admission", "peers", "ownership",
-          "subset")
+SINGLE = (
+    "fleet",
+    "zones",
+    "rules",
+    "limits",
+    "boxes",
+    "http",
+    "request",
+    "graphql",
+    "admission",
+    "peers",
+    "ownership",
+    "subset",
+)
 TOP = {
-    "name": Key(text, "stepknot"), "zone": Key(text, ""), "listen": Key(address, ("127.0.0.1", 9200)),
+    "name": Key(text, "stepknot"),
+    "zone": Key(text, ""),
+    "listen": Key(address, ("127.0.0.1", 9200)),
     "admin": Key(address, None),
-    "seed": Key(count(0, 2**63), 0), "instances": Key(count()), "tick": Key(duration, 0.01),
+    "seed": Key(count(0, 2**63), 0),
+    "instances": Key(count()),
+    "tick": Key(duration, 0.01),
+}
+FLEET = {
+    "cells": Key(count()),
+    "reach": Key(count(), 1),
+    "parts_per_call": Key(count(), 16),
+    "list": Key(text),
+    "list_every": Key(duration, 0.2),
 }
-FLEET = {"cells": Key(count()), "reach": Key(count(), 1), "parts_per_call": Key(count(), 16),
-         "list": Key(text), "list_every": Key(duration, 0.2)}
 RULES = {
-    "drain_grace": Key(duration, 2.0), "cold_share": Key(number(0.001, 1.0), 0.15),
-    "cold_time": Key(duration, 18.0), "fall_multiple": Key(number(1.0), 4.0),
-    "fall_time": Key(duration, 1.0), "extra_window": Key(duration, 0.0),
-    "extra_floor": Key(number(), 0.0), "extra_share": Key(number(), 0.0),
+    "drain_grace": Key(duration, 2.0),
+    "cold_share": Key(number(0.001, 1.0), 0.15),
+    "cold_time": Key(duration, 18.0),
+    "fall_multiple": Key(number(1.0), 4.0),
+    "fall_time": Key(duration, 1.0),
+    "extra_window": Key(duration, 0.0),
+    "extra_floor": Key(number(), 0.0),
+    "extra_share": Key(number(), 0.0),
 }
 LIMITS = {
-    "max_attempts": Key(count(1, 100), 3), "cancelling": Key(flag, True), "probing": Key(flag, True),
-    "second_copies": Key(flag, True), "retry_after": Key(flag, True),
-    "max_retry_after": Key(duration, 3.0), "idle_connection": Key(duration, 30.0),
+    "max_attempts": Key(count(1, 100), 3),
+    "cancelling": Key(flag, True),
+    "probing": Key(flag, True),
+    "second_copies": Key(flag, True),
+    "retry_after": Key(flag, True),
+    "max_retry_after": Key(duration, 3.0),
+    "idle_connection": Key(duration, 30.0),
 }
 BOXES = {
-    "connections": Key(count(), 64), "connect_timeout": Key(duration, 1.0), "reply": Key(size, 64 * 1024**2),
+    "connections": Key(count(), 64),
+    "connect_timeout": Key(duration, 1.0),
+    "reply": Key(size, 64 * 1024**2),
 }
 HTTP = {
-    "header": Key(size, 16 * 1024), "url": Key(size, 4096), "body": Key(size, 32 * 1024**2),
-    "first_byte": Key(duration, 15.0), "body_time": Key(duration, 30.0), "idle": Key(duration, 75.0),
+    "header": Key(size, 16 * 1024),
+    "url": Key(size, 4096),
+    "body": Key(size, 32 * 1024**2),
+    "first_byte": Key(duration, 15.0),
+    "body_time": Key(duration, 30.0),
+    "idle": Key(duration, 75.0),
     "write": Key(duration, 20.0),
 }
 REQUEST = {
-    "depth": Key(count(2, 200), 32), "window": Key(count(), 10_000), "buckets": Key(count(), 65_535),
-    "held": Key(count(), 4096), "bulk": Key(count(), 10_000), "searches": Key(count(), 200),
+    "depth": Key(count(2, 200), 32),
+    "window": Key(count(), 10_000),
+    "buckets": Key(count(), 65_535),
+    "held": Key(count(), 4096),
+    "bulk": Key(count(), 10_000),
+    "searches": Key(count(), 200),
 }
 CLASS = {
-    "aim": Key(duration), "deadline": Key(duration), "worth": Key(number(), 1.0),
-    "late_value": Key(number(0, 1), 0.0), "effect": Key(one_of("safe", "keyed", "unsafe"), "safe"),
-    "repeat_window": Key(duration, 0.0), "need": Key(number(0, 1), 1.0), "floor": Key(number(0, 1), 1.0),
-    "partial_value": Key(number(0, 1), 0.0), "steps": Key(count(1, 2), 1),
+    "aim": Key(duration),
+    "deadline": Key(duration),
+    "worth": Key(number(), 1.0),
+    "late_value": Key(number(0, 1), 0.0),
+    "effect": Key(one_of("safe", "keyed", "unsafe"), "safe"),
+    "repeat_window": Key(duration, 0.0),
+    "need": Key(number(0, 1), 1.0),
+    "floor": Key(number(0, 1), 1.0),
+    "partial_value": Key(number(0, 1), 0.0),
+    "steps": Key(count(1, 2), 1),
     "operations": Key(some_of(*OPERATIONS, *MORE_OPERATIONS), ()),
 }
 INDEX = {"shards": Key(count(1, 1024)), "routing_shards": Key(count(1, 65536), 0)}
 ZONES = {
-    "enabled": Key(flag, True), "tiers": Key(tiers, ()), "spill": Key(number(1.0, 10.0), 0.0),
-    "near": Key(duration, 0.0), "step": Key(duration, 0.0), "first": Key(number(0.01, 1.0), 0.0),
-    "growth": Key(number(1.05, 4.0), 1.5), "history": Key(duration, 20.0), "most_steps": Key(number(1.0, 64.0), 8.0),
-    "calm": Key(duration, 60.0), "trial": Key(duration, 0.25), "longest_trial": Key(duration, 4.0),
+    "enabled": Key(flag, True),
+    "tiers": Key(tiers, ()),
+    "spill": Key(number(1.0, 10.0), 0.0),
+    "near": Key(duration, 0.0),
+    "step": Key(duration, 0.0),
+    "first": Key(number(0.01, 1.0), 0.0),
+    "growth": Key(number(1.05, 4.0), 1.5),
+    "history": Key(duration, 20.0),
+    "most_steps": Key(number(1.0, 64.0), 8.0),
+    "calm": Key(duration, 60.0),
+    "trial": Key(duration, 0.25),
+    "longest_trial": Key(duration, 4.0),
     "prefer_near": Key(flag, True),
 }
 TENANT = {"share": Key(number(0, 1))}
@@ -128,9 +192,15 @@
     held: int
     bulk: int
     searches: int
-    admin: tuple[str, int] | None = None  # where operators' commands reach the broker; none: nowhere
-    zones: ZoneSettings | None = None  # its bounds are derived once the list says how many zones there are
-    tenants: dict[str, float] = field(default_factory=dict)  # share of the traffic that each was promised
+    admin: tuple[str, int] | None = (
+        None  # where operators' commands reach the broker; none: nowhere
+    )
+    zones: ZoneSettings | None = (
+        None  # its bounds are derived once the list says how many zones there are
+    )
+    tenants: dict[str, float] = field(
+        default_factory=dict
+    )  # share of the traffic that each was promised
     admission: AdmissionSettings | None = None  # none: every connection is taken
     peers: Peers | None = None  # none: this broker knows of no other
     owners: Owners | None = None  # none: no job of the fleet is taken here, and no ledger read
@@ -156,7 +226,9 @@
             single[block.kind] = block
         else:
             known = f'{", ".join(SINGLE)}, class "NAME", index "NAME", tenant "NAME"'
-            checker.wrong(block.line, " ".join([block.kind, *block.labels]), f"unknown block; known: {known}")
+            checker.wrong(
+                block.line, " ".join([block.kind, *block.labels]), f"unknown block; known: {known}"
+            )
     plain = checker.read(top, TOP, "")
     fleet = checker.read(single.get("fleet"), FLEET, "fleet.")
     rules = checker.read(single.get("rules"), RULES, "rules.")
@@ -167,30 +239,61 @@
     zones = checker.read(single.get("zones"), ZONES, "zones.")
     classes, operations = read_classes(checker, named["class"])
     indices = read_indices(checker, named["index"])
-    tenants = {block.labels[0]: checker.read(block, TENANT, f"tenant.{block.labels[0]}.")["share"]
-               for block in named["tenant"]}
+    tenants = {
+        block.labels[0]: checker.read(block, TENANT, f"tenant.{block.labels[0]}.")["share"]
+        for block in named["tenant"]
+    }
     if sum(share or 0.0 for share in tenants.values()) > 1 + 1e-9:
-        checker.wrong(named["tenant"][-1].line, "tenant", "expected shares that add up to 1 at the most")
-    graphql = GraphReader(checker, indices).read(
-        single["graphql"], folder) if "graphql" in single else None
+        checker.wrong(
+            named["tenant"][-1].line, "tenant", "expected shares that add up to 1 at the most"
+        )
+    graphql = (
+        GraphReader(checker, indices).read(single["graphql"], folder)
+        if "graphql" in single
+        else None
+    )
     admission = read_admission(checker, single.get("admission"), request["held"] or 1, folder)
     peers = read_peers(checker, single.get("peers"), plain["listen"], plain["instances"])
     owners = read_ownership(checker, single.get("ownership"), peers, folder)
-    subset = read_subset(checker, single.get("subset"), surroundings(plain["zone"], zones, limits, single.get("peers")))
+    subset = read_subset(
+        checker,
+        single.get("subset"),
+        surroundings(plain["zone"], zones, limits, single.get("peers")),
+    )
     if checker.problems:
         raise ConfigError(sorted(checker.problems, key=lambda each: each.line))
     settings = api.Settings(
-        instances=plain["instances"], cells=fleet["cells"], reach=fleet["reach"],
-        parts_per_call=fleet["parts_per_call"], classes=classes,
-        rules=api.Rules(**rules), limits=api.Limits(**limits), tick=plain["tick"],
+        instances=plain["instances"],
+        cells=fleet["cells"],
+        reach=fleet["reach"],
+        parts_per_call=fleet["parts_per_call"],
+        classes=classes,
+        rules=api.Rules(**rules),
+        limits=api.Limits(**limits),
+        tick=plain["tick"],
     )
     return Config(
-        name=plain["name"], zone=plain["zone"], listen=plain["listen"], seed=plain["seed"],
-        list_file=folder / fleet["list"], list_every=fleet["list_every"], settings=settings,
-        operations=operations, indices=indices, connections=boxes["connections"],
-        connect_timeout=boxes["connect_timeout"], reply=boxes["reply"], http=HttpLimits(**http),
-        tenants=tenants, admin=plain["admin"], zones=zone_settings(plain["zone"], zones), graphql=graphql,
-        admission=admission, peers=peers, owners=owners, subset=subset,
+        name=plain["name"],
+        zone=plain["zone"],
+        listen=plain["listen"],
+        seed=plain["seed"],
+        list_file=folder / fleet["list"],
+        list_every=fleet["list_every"],
+        settings=settings,
+        operations=operations,
+        indices=indices,
+        connections=boxes["connections"],
+        connect_timeout=boxes["connect_timeout"],
+        reply=boxes["reply"],
+        http=HttpLimits(**http),
+        tenants=tenants,
+        admin=plain["admin"],
+        zones=zone_settings(plain["zone"], zones),
+        graphql=graphql,
+        admission=admission,
+        peers=peers,
+        owners=owners,
+        subset=subset,
         **request,
     )
 
@@ -203,7 +306,9 @@
     return ZoneSettings(own, tiers_, Bounds(**got), prefer)
 
 
-def read_classes(checker: Checker, blocks: list[Block]) -> tuple[dict[str, api.QueryClass], dict[str, str]]:
+def read_classes(
+    checker: Checker, blocks: list[Block]
+) -> tuple[dict[str, api.QueryClass], dict[str, str]]:
     classes: dict[str, api.QueryClass] = {}
     operations: dict[str, str] = {}
     for block in blocks:
@@ -214,10 +319,17 @@
         for operation in got["operations"] or ():
             if operations.setdefault(operation, name) != name:
                 line = block.values["operations"].line
-                checker.wrong(line, where + "operations", f"{operation} is already class {operations[operation]}'s")
+                checker.wrong(
+                    line,
+                    where + "operations",
+                    f"{operation} is already class {operations[operation]}'s",
+                )
         if None in got.values():
             continue
-        for key, low, high in (("floor", got["floor"], got["need"]), ("aim", got["aim"], got["deadline"])):
+        for key, low, high in (
+            ("floor", got["floor"], got["need"]),
+            ("aim", got["aim"], got["deadline"]),
+        ):
             if low > high:
                 other = "need" if key == "floor" else "deadline"
                 line = block.values.get(key, Value(block.line, 0)).line
@@ -225,12 +337,21 @@
         if got["effect"] == "keyed" and not got["repeat_window"]:
             checker.wrong(block.line, where + "repeat_window", "missing: a keyed class has one")
         if got["effect"] != "safe" and got["steps"] == 2:
-            checker.wrong(block.line, where + "steps", "expected 1: what has an effect has one step")
+            checker.wrong(
+                block.line, where + "steps", "expected 1: what has an effect has one step"
+            )
         classes[name] = api.QueryClass(
-            name=name, aim=got["aim"], deadline=got["deadline"], worth=got["worth"],
-            late_value=got["late_value"], effect=api.Effect(got["effect"]),
-            repeat_window=got["repeat_window"], need=got["need"], floor=got["floor"],
-            partial_value=got["partial_value"], second_step_parts=got["steps"] - 1,
+            name=name,
+            aim=got["aim"],
+            deadline=got["deadline"],
+            worth=got["worth"],
+            late_value=got["late_value"],
+            effect=api.Effect(got["effect"]),
+            repeat_window=got["repeat_window"],
+            need=got["need"],
+            floor=got["floor"],
+            partial_value=got["partial_value"],
+            second_step_parts=got["steps"] - 1,
         )
     for operation in OPERATIONS:
         if operation not in operations:
@@ -241,7 +362,9 @@
     for operation in ("index", "create", "update", "delete", "bulk"):
         kind = classes.get(operations.get(operation, ""))
         if kind is not None and kind.effect is api.Effect.SAFE:
-            checker.wrong(1, f"class.{kind.name}.effect", f"expected keyed or unsafe: {operation} writes")
+            checker.wrong(
+                1, f"class.{kind.name}.effect", f"expected keyed or unsafe: {operation} writes"
+            )
     return classes, operations
 
 
@@ -254,15 +377,25 @@
         if name in indices:
             checker.wrong(block.line, f"index.{name}", "given twice")
         if not re.fullmatch(r"[a-z0-9][a-z0-9_.-]{0,254}", name):
-            checker.wrong(block.line, f"index.{name}", "expected a name in lower case, as the engines have them")
+            checker.wrong(
+                block.line,
+                f"index.{name}",
+                "expected a name in lower case, as the engines have them",
+            )
         fields = {}
         for inner in block.blocks:
             if inner.kind != "field" or len(inner.labels) != 1:
-                checker.wrong(inner.line, where + inner.kind, 'unknown block; known here: field "NAME"')
+                checker.wrong(
+                    inner.line, where + inner.kind, 'unknown block; known here: field "NAME"'
+                )
                 continue
-            fields[inner.labels[0]] = checker.read(inner, FIELD, f"{where}{inner.labels[0]}.")["type"]
+            fields[inner.labels[0]] = checker.read(inner, FIELD, f"{where}{inner.labels[0]}.")[
+                "type"
+            ]
         shards = got["shards"] or 1
-        indices[name] = Index(name, shards, got["routing_shards"] or default_routing_shards(shards), first, fields)
+        indices[name] = Index(
+            name, shards, got["routing_shards"] or default_routing_shards(shards), first, fields
+        )
         first += shards
     if not indices:
         checker.wrong(1, "index", 'missing: at least one index "NAME" { shards = N }')
--- a/stepknot/discovery/boxlist.py
+++ b/stepknot/discovery/boxlist.py
@@ -34,12 +34,20 @@
             if not isinstance(given, list):
                 raise TypeError("boxes is no list")
         except (ValueError, KeyError, TypeError) as error:
-            raise ConfigError([Problem(str(path), 1, "boxes", f"expected a JSON list of boxes: {error}")]) from None
+            raise ConfigError(
+                [Problem(str(path), 1, "boxes", f"expected a JSON list of boxes: {error}")]
+            ) from None
         rows = [(0, each) for each in given]
     else:
         blocks = parse(text, str(path)).blocks
-        rows = [(each.line, {"address": " ".join(each.labels)} | {key: value.value for key, value
-                                                                  in each.values.items()}) for each in blocks]
+        rows = [
+            (
+                each.line,
+                {"address": " ".join(each.labels)}
+                | {key: value.value for key, value in each.values.items()},
+            )
+            for each in blocks
+        ]
     if len(rows) > MOST_BOXES:
         raise ConfigError([Problem(str(path), 1, "boxes", f"expected {MOST_BOXES} at the most")])
     entries: dict[str, ServerEntry] = {}
@@ -73,29 +81,45 @@
     since = row.get("up_since", 0)
     if not isinstance(since, (int, float)):
         raise Bad(f"expected up_since in seconds since 1970, not {since!r}")
-    return ServerEntry(str(where), str(row.get("zone", "")), cell, ServerState(state), float(row.get("size", 1.0)),
-                       since + clock_offset if since > 0 else 0.0, str(row.get("kind", "")))
+    return ServerEntry(
+        str(where),
+        str(row.get("zone", "")),
+        cell,
+        ServerState(state),
+        float(row.get("size", 1.0)),
+        since + clock_offset if since > 0 else 0.0,
+        str(row.get("kind", "")),
+    )
 
 
 def changes(old: dict[str, ServerEntry], new: dict[str, ServerEntry]) -> tuple[ServerEntry, ...]:
     """What a broker that knows `old` must hear to know `new`."""
-    gone = [replace(entry, state=ServerState.GONE) for server, entry in old.items() if server not in new]
+    gone = [
+        replace(entry, state=ServerState.GONE) for server, entry in old.items() if server not in new
+    ]
     changed = [entry for server, entry in new.items() if not same(old.get(server), entry)]
     return (*gone, *changed)
 
 
 def same(old: ServerEntry | None, new: ServerEntry) -> bool:
     """The offset of the clocks wanders by microseconds; a start time is the same within a millisecond."""
-    return old is not None and abs(old.up_since - new.up_since) < 0.001 and replace(
-        old, up_since=0.0) == replace(new, up_since=0.0)
+    return (
+        old is not None
+        and abs(old.up_since - new.up_since) < 0.001
+        and replace(old, up_since=0.0) == replace(new, up_since=0.0)
+    )
 
 
 class FileSource:
     """Watches the file by its stat every `every` seconds and reports through `on_list` and `on_trouble`."""
 
     def __init__(
-        self, loop: Loop, path: Path, every: float,
-        on_list: Callable[[ListReceived], None], on_trouble: Callable[[str], None],
+        self,
+        loop: Loop,
+        path: Path,
+        every: float,
+        on_list: Callable[[ListReceived], None],
+        on_trouble: Callable[[str], None],
         wall: Callable[[], float] = time.time,
     ) -> None:
         self.loop, self.path, self.every, self.wall = loop, path, every, wall
@@ -123,7 +147,9 @@
             return
         news = changes(self.entries, entries)
         # An entry that is the same keeps the start time as first heard.
-        self.entries = {server: self.entries[server] if same(self.entries.get(server), entry) else entry
-                        for server, entry in entries.items()}
+        self.entries = {
+            server: self.entries[server] if same(self.entries.get(server), entry) else entry
+            for server, entry in entries.items()
+        }
         if news:
             self.on_list(ListReceived(ListKind.CHANGES, news))
--- a/stepknot/fronts/graphql/app.py
+++ b/stepknot/fronts/graphql/app.py
@@ -68,8 +68,13 @@
 class Turned(Exception):
     """A request that is answered without running anything."""
 
-    def __init__(self, status: int, errors: list[GraphQLError], headers: list[tuple[str, str]] | None = None,
-                 graphql: bool = True) -> None:
+    def __init__(
+        self,
+        status: int,
+        errors: list[GraphQLError],
+        headers: list[tuple[str, str]] | None = None,
+        graphql: bool = True,
+    ) -> None:
         super().__init__(errors[0].message)
         self.status, self.errors, self.headers = status, errors, headers or []
         self.graphql = graphql  # the request was well-formed, and a GraphQL answer says why not
@@ -87,7 +92,9 @@
         assert config.graphql is not None
         graph = Graph.of(config.graphql)
         limits = config.graphql.limits
-        self.budgets = Budgets(limits.rate, limits.burst, limits.tenant_rate, config.tenants, limits.clients)
+        self.budgets = Budgets(
+            limits.rate, limits.burst, limits.tenant_rate, config.tenants, limits.clients
+        )
         self.config, self.graph = config, graph
 
     # --- the way in and out
@@ -100,9 +107,15 @@
             response = yield from self.operate(request, connection, media)
         except Turned as turned:
             self.counts["turned_down"] += 1
-            status = 200 if turned.graphql and media == OLD and turned.status == 400 else turned.status
-            response = answer(status, media or OLD, {"errors": [each.formatted for each in turned.errors]},
-                              turned.headers)
+            status = (
+                200 if turned.graphql and media == OLD and turned.status == 400 else turned.status
+            )
+            response = answer(
+                status,
+                media or OLD,
+                {"errors": [each.formatted for each in turned.errors]},
+                turned.headers,
+            )
         if response is not None and NAME_HEADER in request.headers:
             response.headers.append(("X-Opaque-Id", request.headers[NAME_HEADER][:MOST_NAME]))
         return response
@@ -112,8 +125,12 @@
 
     def refuse(self, reason: str, retry_after: float) -> Response:
         """What admission turns down: a final answer, nothing of it has run."""
-        error = said(f"not admitted ({reason}): nothing of it has taken effect, trying again is harmless", REFUSED,
-                     repeatable=True, retryAfterMs=math.ceil(retry_after * 1000))
+        error = said(
+            f"not admitted ({reason}): nothing of it has taken effect, trying again is harmless",
+            REFUSED,
+            repeatable=True,
+            retryAfterMs=math.ceil(retry_after * 1000),
+        )
         return answer(429, NEW, {"errors": [error.formatted]}, retry_headers(retry_after))
 
     def level(self, request: Request) -> tuple[int, str]:
@@ -125,9 +142,12 @@
         asked = self.read(request, graph.settings)
         prepared, operation = self.prepare(graph, asked)
         if request.method == "GET" and operation.operation is not OperationType.QUERY:
-            raise Turned(405, [said("GET runs queries only; send this by POST")], [("allow", "POST")], False)
-        variables = get_variable_values(graph.schema, operation.variable_definitions or (), asked.variables,
-                                        MOST_ERRORS)
+            raise Turned(
+                405, [said("GET runs queries only; send this by POST")], [("allow", "POST")], False
+            )
+        variables = get_variable_values(
+            graph.schema, operation.variable_definitions or (), asked.variables, MOST_ERRORS
+        )
         if isinstance(variables, list):
             for error in variables:
                 error.extensions = {"code": "BAD_USER_INPUT"}
@@ -141,7 +161,9 @@
         deadline = request.arrived + seconds
         weight = weight_of(plan)
         reserve = min(self.pace * weight, seconds * LARGEST_RESERVE)
-        own = Client(seconds - reserve, client.tenant, client.name, client.class_name, client.arrived)
+        own = Client(
+            seconds - reserve, client.tenant, client.name, client.class_name, client.arrived
+        )
         runner = Runner(self.queries, planner, own, connection.on_disconnect, deadline - reserve)
         try:
             values = yield from runner.run(plan)
@@ -149,8 +171,18 @@
             return None
         return self.finish(graph, prepared, asked, plan, runner, values, deadline, weight, media)
 
-    def finish(self, graph: Graph, prepared: Prepared, asked: Asked, plan: Plan, runner: Runner,
-               values: dict[str, Any], deadline: float, weight: int, media: str) -> Response | None:
+    def finish(
+        self,
+        graph: Graph,
+        prepared: Prepared,
+        asked: Asked,
+        plan: Plan,
+        runner: Runner,
+        values: dict[str, Any],
+        deadline: float,
+        weight: int,
+        media: str,
+    ) -> Response | None:
         """None where the client's time is over: nothing may be sent any more."""
         clock = self.core.loop.clock
         begun = clock()
@@ -162,8 +194,13 @@
             self.counts["with_errors"] += 1
             body["errors"] = [self.coded(each).formatted for each in result.errors]
         if plan.roots:
-            body["extensions"] = {"cost": plan.parts, "coverage": [covered(each) for each in runner.said]}
-        response = answer(200, media, body, retry_headers(runner.retry_after) if result.errors else [])
+            body["extensions"] = {
+                "cost": plan.parts,
+                "coverage": [covered(each) for each in runner.said],
+            }
+        response = answer(
+            200, media, body, retry_headers(runner.retry_after) if result.errors else []
+        )
         ended = clock()
         self.pace = max((ended - begun) / weight, self.pace * FADE)
         return None if ended >= deadline and plan.roots else response
@@ -171,11 +208,15 @@
     def coded(self, error: GraphQLError) -> GraphQLError:
         """Every error has a code. One without is a value that the schema does not know, or a mistake of our own."""
         if not error.extensions:
-            ours = error.original_error is not None and not isinstance(error.original_error, (GraphQLError, TypeError))
+            ours = error.original_error is not None and not isinstance(
+                error.original_error, (GraphQLError, TypeError)
+            )
             error.extensions = {"code": "INTERNAL_SERVER_ERROR" if ours else "VALUE_NOT_VALID"}
             if ours:
                 self.queries.core.counts["internal_errors"] += 1
-                self.queries.core.on_event("internal_error", task="graphql", error=str(error.original_error)[:500])
+                self.queries.core.on_event(
+                    "internal_error", task="graphql", error=str(error.original_error)[:500]
+                )
         return error
 
     # --- reading
@@ -183,15 +224,29 @@
     def read(self, request: Request, settings: GraphSettings) -> Asked:
         """Raises Turned."""
         if request.path.rstrip("/") not in ("/graphql", ""):
-            raise Turned(404, [said(f"nothing at {request.path[:200]}; operations go to /graphql")], graphql=False)
+            raise Turned(
+                404,
+                [said(f"nothing at {request.path[:200]}; operations go to /graphql")],
+                graphql=False,
+            )
         if request.method not in ("GET", "POST"):
-            raise Turned(405, [said("GET and POST are what is taken")], [("allow", "GET, POST")], False)
+            raise Turned(
+                405, [said("GET and POST are what is taken")], [("allow", "GET, POST")], False
+            )
         try:
-            given = self.read_query(request) if request.method == "GET" else self.read_body(request, settings)
+            given = (
+                self.read_query(request)
+                if request.method == "GET"
+                else self.read_body(request, settings)
+            )
         except RequestError as error:
             raise Turned(400, [said(error.reason, "BAD_REQUEST")], graphql=False) from None
-        for name, kinds, what in (("query", str, "a string"), ("operationName", str, "a string"),
-                                  ("variables", dict, "an object"), ("extensions", dict, "an object")):
+        for name, kinds, what in (
+            ("query", str, "a string"),
+            ("operationName", str, "a string"),
+            ("variables", dict, "an object"),
+            ("extensions", dict, "an object"),
+        ):
             if given.get(name) is not None and not isinstance(given[name], kinds):
                 raise Turned(400, [said(f"{name} must be {what}", "BAD_REQUEST")], graphql=False)
         persisted = (given.get("extensions") or {}).get("persistedQuery")
@@ -199,12 +254,28 @@
         if persisted is not None:
             digest = persisted.get("sha256Hash") if isinstance(persisted, dict) else None
             if not isinstance(digest, str) or len(digest) != 64 or persisted.get("version") != 1:
-                raise Turned(400, [said("extensions.persistedQuery must have version 1 and a sha256Hash of 64 "
-                                        "hexadecimal digits", "BAD_REQUEST")], graphql=False)
-        return Asked(given.get("query"), given.get("operationName") or None, given.get("variables") or {}, digest)
+                raise Turned(
+                    400,
+                    [
+                        said(
+                            "extensions.persistedQuery must have version 1 and a sha256Hash of 64 "
+                            "hexadecimal digits",
+                            "BAD_REQUEST",
+                        )
+                    ],
+                    graphql=False,
+                )
+        return Asked(
+            given.get("query"),
+            given.get("operationName") or None,
+            given.get("variables") or {},
+            digest,
+        )
 
     def read_query(self, request: Request) -> dict[str, Any]:
-        given: dict[str, Any] = {name: request.query[name] for name in PARAMS if name in request.query}
+        given: dict[str, Any] = {
+            name: request.query[name] for name in PARAMS if name in request.query
+        }
         for name in ("variables", "extensions"):
             if name in given:
                 given[name] = read_json(given[name].encode(), self.config.depth)
@@ -214,9 +285,13 @@
         kind, _, rest = request.headers.get("content-type", "").partition(";")
         charset = rest.partition("charset=")[2].strip().strip('"').lower()
         if kind.strip().lower() != OLD or charset not in ("", "utf-8", "utf8"):
-            raise Turned(415, [said("a request's body is application/json in UTF-8")], graphql=False)
+            raise Turned(
+                415, [said("a request's body is application/json in UTF-8")], graphql=False
+            )
         if len(request.body) > settings.limits.body:
-            raise Turned(413, [said(f"request body is over {settings.limits.body} bytes")], graphql=False)
+            raise Turned(
+                413, [said(f"request body is over {settings.limits.body} bytes")], graphql=False
+            )
         given = read_json(request.body, self.config.depth)
         if isinstance(given, list):
             raise RequestError("batches are not taken: send each operation by itself")
@@ -233,19 +308,36 @@
             graph.documents.keep(text, asked.digest)
             return prepared, prepared.operation(asked.name)
         except Invalid as error:
-            raise Turned(200 if error.code.startswith("PERSISTED_QUERY_NOT") else 400, error.errors) from None
+            raise Turned(
+                200 if error.code.startswith("PERSISTED_QUERY_NOT") else 400, error.errors
+            ) from None
         except TooMuch as error:
             raise Turned(400, [said(error.reason, error.code)]) from None
         except GraphQLError as error:
             raise Turned(400, [error]) from None
 
-    def planner(self, graph: Graph, operation: OperationDefinitionNode, prepared: Prepared,
-                variables: VariableValues) -> Planner:
+    def planner(
+        self,
+        graph: Graph,
+        operation: OperationDefinitionNode,
+        prepared: Prepared,
+        variables: VariableValues,
+    ) -> Planner:
         classes, operations = self.core.settings.classes, self.config.operations
-        return Planner(graph.settings, graph.schema, operation, prepared.fragments, variables,
-                       self.queries.indices.known(), self.queries.targets, self.queries.shard,
-                       lambda name: 1 + classes[operations[name]].second_step_parts, self.config.window,
-                       self.queries.new_id, prepared.selections)
+        return Planner(
+            graph.settings,
+            graph.schema,
+            operation,
+            prepared.fragments,
+            variables,
+            self.queries.indices.known(),
+            self.queries.targets,
+            self.queries.shard,
+            lambda name: 1 + classes[operations[name]].second_step_parts,
+            self.config.window,
+            self.queries.new_id,
+            prepared.selections,
+        )
 
     def plan(self, planner: Planner) -> Plan:
         try:
@@ -265,8 +357,13 @@
             if seconds == 0.0:
                 raise RequestError("[timeout] must be over 0: no answer could come in time")
             client = self.queries.client(request.headers, seconds, request.arrived)
-            longest = max((self.queries.time_left(self.queries.class_of(root.operation, client), client)
-                           for root in plan.roots), default=1.0)
+            longest = max(
+                (
+                    self.queries.time_left(self.queries.class_of(root.operation, client), client)
+                    for root in plan.roots
+                ),
+                default=1.0,
+            )
         except RequestError as error:
             raise Turned(400, [said(error.reason, "BAD_USER_INPUT")]) from None
         return Client(longest, client.tenant, client.name, client.class_name, client.arrived)
@@ -275,18 +372,34 @@
         wait = self.budgets.take(self.core.loop.now, who, client.tenant, plan.parts)
         if wait:
             self.counts["over_budget"] += 1
-            raise Turned(429, [said(f"The operation costs {plan.parts} parts, more than its client may spend now.",
-                                    "BUDGET_EXCEEDED", retryAfterMs=math.ceil(wait * 1000), cost=plan.parts)],
-                         retry_headers(wait))
+            raise Turned(
+                429,
+                [
+                    said(
+                        f"The operation costs {plan.parts} parts, more than its client may spend now.",
+                        "BUDGET_EXCEEDED",
+                        retryAfterMs=math.ceil(wait * 1000),
+                        cost=plan.parts,
+                    )
+                ],
+                retry_headers(wait),
+            )
 
 
 def covered(said: Said) -> dict[str, Any]:
     """How much of the shards a query's answer is from, and which are missing."""
     found = said.coverage
-    body: dict[str, Any] = {"path": list(said.path), "asked": found.asked, "answered": found.answered,
-                            "whole": found.whole}
-    return body | ({"missing": [{"index": each.index, "shard": each.shard} for each in found.missing]}
-                   if found.missing else {})
+    body: dict[str, Any] = {
+        "path": list(said.path),
+        "asked": found.asked,
+        "answered": found.answered,
+        "whole": found.whole,
+    }
+    return body | (
+        {"missing": [{"index": each.index, "shard": each.shard} for each in found.missing]}
+        if found.missing
+        else {}
+    )
 
 
 def weight_of(plan: Plan) -> int:
@@ -298,7 +411,9 @@
     return GraphQLError(text, extensions={"code": code, **more})
 
 
-def answer(status: int, media: str, body: dict[str, Any], headers: list[tuple[str, str]] | None = None) -> Response:
+def answer(
+    status: int, media: str, body: dict[str, Any], headers: list[tuple[str, str]] | None = None
+) -> Response:
     return Response(status, orjson.dumps(body), list(headers or []), f"{media}; charset=utf-8")
 
 
--- a/stepknot/fronts/graphql/budget.py
+++ b/stepknot/fronts/graphql/budget.py
@@ -68,14 +68,18 @@
 class Budgets:
     """Of an operation both its client and its tenant pay; it runs where both can."""
 
-    def __init__(self, rate: float, burst: float, tenant_rate: float, shares: dict[str, float], most: int) -> None:
+    def __init__(
+        self, rate: float, burst: float, tenant_rate: float, shares: dict[str, float], most: int
+    ) -> None:
         self.clients = Budget(rate, burst, most)
         self.tenants = {name: Budget(tenant_rate * share, 0.0, 1) for name, share in shares.items()}
 
     def take(self, now: float, client: str, tenant: str, parts: float) -> float:
         """0 where it was paid for; else the seconds after which it may be, and nothing was paid."""
         own = self.tenants.get(tenant)
-        wait = max(self.clients.wait(now, client, parts), own.wait(now, tenant, parts) if own else 0.0)
+        wait = max(
+            self.clients.wait(now, client, parts), own.wait(now, tenant, parts) if own else 0.0
+        )
         if not wait:
             self.clients.spend(now, client, parts)
             if own is not None:
--- a/stepknot/fronts/graphql/documents.py
+++ b/stepknot/fronts/graphql/documents.py
@@ -30,7 +30,9 @@
 
 # A directive, however it is spaced.
 CONDITION = re.compile(r"@[\s,\ufeff]*(?:#[^\n\r]*[\s,\ufeff]*)*(?:skip|include)\b")
-TOKENS_EACH = 100  # of a kept document on average: what all may hold is this times how many are kept
+TOKENS_EACH = (
+    100  # of a kept document on average: what all may hold is this times how many are kept
+)
 MOST_ERRORS = 20
 
 
@@ -52,9 +54,12 @@
             return next(iter(self.operations.values()))
         if name in self.operations:
             return self.operations[name]
-        raise GraphQLError("Must provide operation name if query contains multiple operations." if name is None
-                           else f"Unknown operation named '{name[:100]}'.",
-                           extensions={"code": "OPERATION_RESOLUTION_FAILURE"})
+        raise GraphQLError(
+            "Must provide operation name if query contains multiple operations."
+            if name is None
+            else f"Unknown operation named '{name[:100]}'.",
+            extensions={"code": "OPERATION_RESOLUTION_FAILURE"},
+        )
 
 
 class Invalid(Exception):
@@ -73,7 +78,9 @@
     def __init__(self, schema: GraphQLSchema, settings: GraphSettings) -> None:
         self.schema, self.settings = schema, settings
         self.pages = {each.many for each in settings.types.values()}
-        self.rules = [*specified_rules] + ([] if settings.introspection else [NoSchemaIntrospectionCustomRule])
+        self.rules = [*specified_rules] + (
+            [] if settings.introspection else [NoSchemaIntrospectionCustomRule]
+        )
         self.kept: OrderedDict[str, Prepared] = OrderedDict()
         self.persisted: OrderedDict[str, str] = OrderedDict()  # sent along by clients
         self.persisted_size = 0
@@ -93,7 +100,8 @@
         self.kept[text] = made
         self.tokens += made.tokens
         while self.tokens > self.settings.limits.documents * TOKENS_EACH or (
-                len(self.kept) > self.settings.limits.documents):
+            len(self.kept) > self.settings.limits.documents
+        ):
             self.tokens -= self.kept.popitem(last=False)[1].tokens
         return made
 
@@ -111,12 +119,23 @@
             raise TooMuch("OPERATION_TOO_LARGE", "The document is nested too deeply.") from None
         if errors:
             raise Invalid(errors, "GRAPHQL_VALIDATION_FAILED")
-        operations = {each.name.value if each.name else "": each for each in document.definitions
-                      if isinstance(each, OperationDefinitionNode)}
-        return Prepared(text, tokens, document, operations,
-                        {each.name.value: each for each in document.definitions
-                         if isinstance(each, FragmentDefinitionNode)},
-                        None if CONDITION.search(text) else {})
+        operations = {
+            each.name.value if each.name else "": each
+            for each in document.definitions
+            if isinstance(each, OperationDefinitionNode)
+        }
+        return Prepared(
+            text,
+            tokens,
+            document,
+            operations,
+            {
+                each.name.value: each
+                for each in document.definitions
+                if isinstance(each, FragmentDefinitionNode)
+            },
+            None if CONDITION.search(text) else {},
+        )
 
     # --- persisted
 
@@ -127,10 +146,14 @@
             if text is None:
                 raise Invalid([GraphQLError("Must provide a query string.")], "BAD_REQUEST")
             if mode == "only" and hash_of(text) not in self.settings.persisted_queries:
-                raise Invalid([GraphQLError("Only persisted queries are taken.")], "PERSISTED_QUERY_REQUIRED")
+                raise Invalid(
+                    [GraphQLError("Only persisted queries are taken.")], "PERSISTED_QUERY_REQUIRED"
+                )
             return text
         if mode == "off":
-            raise Invalid([GraphQLError("PersistedQueryNotSupported")], "PERSISTED_QUERY_NOT_SUPPORTED")
+            raise Invalid(
+                [GraphQLError("PersistedQueryNotSupported")], "PERSISTED_QUERY_NOT_SUPPORTED"
+            )
         known = self.settings.persisted_queries.get(digest) or self.persisted.get(digest)
         if known is not None:
             if digest in self.persisted:
@@ -149,7 +172,10 @@
         self.persisted[digest] = text
         self.persisted_size += len(text)
         limits = self.settings.limits
-        while len(self.persisted) > limits.documents or self.persisted_size > limits.documents * TOKENS_EACH * LONGEST:
+        while (
+            len(self.persisted) > limits.documents
+            or self.persisted_size > limits.documents * TOKENS_EACH * LONGEST
+        ):
             self.persisted_size -= len(self.persisted.popitem(last=False)[1])
 
 
--- a/stepknot/fronts/graphql/limits.py
+++ b/stepknot/fronts/graphql/limits.py
@@ -25,8 +25,11 @@
 
 # A lexical token, or what is passed over; as the grammar has them, closely enough to count: whatever this does not
 # know counts as a token of one character, so that the count is never too low.
-TOKEN = re.compile(r'[\s,\ufeff]+|#[^\n\r]*|"""(?:[^"\\]|\\.|"(?!""))*"""|"(?:[^"\\\n\r]|\\.)*"|[_A-Za-z][_0-9A-Za-z]*'
-                   r"|-?[0-9]+(?:\.[0-9]+)?(?:[eE][+-]?[0-9]+)?|\.\.\.|.", re.DOTALL)
+TOKEN = re.compile(
+    r'[\s,\ufeff]+|#[^\n\r]*|"""(?:[^"\\]|\\.|"(?!""))*"""|"(?:[^"\\\n\r]|\\.)*"|[_A-Za-z][_0-9A-Za-z]*'
+    r"|-?[0-9]+(?:\.[0-9]+)?(?:[eE][+-]?[0-9]+)?|\.\.\.|.",
+    re.DOTALL,
+)
 BLANK = frozenset("\t\n\r\v\f ,#\ufeff")
 LONGEST = 16  # characters of text for each token that is allowed
 CEILING = 1_000_000
@@ -82,8 +85,11 @@
             if token == ":":  # the name before it was an alias
                 aliases += 1
                 fields -= 1
-            elif (token[0] == "_" or token[0].isalpha()) and last not in ("...", "@") and not (
-                    last == "on" and before == "..."):
+            elif (
+                (token[0] == "_" or token[0].isalpha())
+                and last not in ("...", "@")
+                and not (last == "on" and before == "...")
+            ):
                 fields += 1
             found.fields, found.aliases = max(found.fields, fields), max(found.aliases, aliases)
         before, last = last, token
@@ -93,12 +99,18 @@
 def check_text(text: str, limits: GraphLimits) -> int:
     """How many tokens it has, counted before it is parsed. Raises TooMuch."""
     if len(text) > limits.tokens * LONGEST:
-        raise TooMuch("OPERATION_TOO_LARGE", f"The document has {len(text)} characters, at most "
-                                             f"{limits.tokens * LONGEST} are taken.")
+        raise TooMuch(
+            "OPERATION_TOO_LARGE",
+            f"The document has {len(text)} characters, at most "
+            f"{limits.tokens * LONGEST} are taken.",
+        )
     found = scan(text, limits.tokens)
     # An alias is counted as a field until its colon comes: one more than the limit may be such a name.
-    for what, got, most in (("tokens", found.tokens, limits.tokens), ("fields", found.fields - 1, limits.fields),
-                            ("aliases", found.aliases, limits.aliases)):
+    for what, got, most in (
+        ("tokens", found.tokens, limits.tokens),
+        ("fields", found.fields - 1, limits.fields),
+        ("aliases", found.aliases, limits.aliases),
+    ):
         if got > most:
             raise TooMuch("OPERATION_TOO_LARGE", f"The document has over {most} {what}.")
     return found.tokens
@@ -114,22 +126,43 @@
             continue
         rows = 0
         for each in operation.selection_set.selections:
-            if isinstance(each, FieldNode) and each.name.value in pages and not each.directives and any(
-                    isinstance(inner, FieldNode) and inner.name.value in ("edges", "nodes") and not inner.directives
-                    for inner in (each.selection_set.selections if each.selection_set else ())):
-                first = next((given.value for given in each.arguments or () if given.name.value == "first"), None)
-                rows += int(first.value) if isinstance(first, IntValueNode) and len(first.value) < 10 else 0
+            if (
+                isinstance(each, FieldNode)
+                and each.name.value in pages
+                and not each.directives
+                and any(
+                    isinstance(inner, FieldNode)
+                    and inner.name.value in ("edges", "nodes")
+                    and not inner.directives
+                    for inner in (each.selection_set.selections if each.selection_set else ())
+                )
+            ):
+                first = next(
+                    (given.value for given in each.arguments or () if given.name.value == "first"),
+                    None,
+                )
+                rows += (
+                    int(first.value)
+                    if isinstance(first, IntValueNode) and len(first.value) < 10
+                    else 0
+                )
         if rows > limits.rows:
-            raise TooMuch("OPERATION_TOO_COSTLY", f"The operation would have up to {rows} rows in its lists and more, "
-                                                  f"at most {limits.rows} are taken.")
+            raise TooMuch(
+                "OPERATION_TOO_COSTLY",
+                f"The operation would have up to {rows} rows in its lists and more, "
+                f"at most {limits.rows} are taken.",
+            )
 
 
 class Measure:
     """Measures the operations of one document."""
 
     def __init__(self, document: DocumentNode) -> None:
-        self.fragments = {each.name.value: each for each in document.definitions
-                          if isinstance(each, FragmentDefinitionNode)}
+        self.fragments = {
+            each.name.value: each
+            for each in document.definitions
+            if isinstance(each, FragmentDefinitionNode)
+        }
         self.known: dict[str, Shape] = {}
         self.open: set[str] = set()  # fragments being measured: one met again is a cycle
 
@@ -140,23 +173,32 @@
                 inner = self.selections(each.selection_set)
                 # Introspection is deep by its nature; a rule of validation's own bounds how deep it may go.
                 depth_here = 0 if each.name.value in INTROSPECTION else inner.depth
-                inner = Shape(depth_here + 1, inner.fields + 1, inner.aliases + (each.alias is not None))
+                inner = Shape(
+                    depth_here + 1, inner.fields + 1, inner.aliases + (each.alias is not None)
+                )
             elif isinstance(each, InlineFragmentNode):
                 inner = self.selections(each.selection_set)
             else:
                 assert isinstance(each, FragmentSpreadNode)
                 inner = self.fragment(each.name.value)
             depth = max(depth, inner.depth)
-            fields, aliases = min(fields + inner.fields, CEILING), min(aliases + inner.aliases, CEILING)
+            fields, aliases = (
+                min(fields + inner.fields, CEILING),
+                min(aliases + inner.aliases, CEILING),
+            )
         return Shape(depth, fields, aliases)
 
     def fragment(self, name: str) -> Shape:
         if name in self.open:
-            raise TooMuch("GRAPHQL_VALIDATION_FAILED", f"Cannot spread fragment '{name}' within itself.")
+            raise TooMuch(
+                "GRAPHQL_VALIDATION_FAILED", f"Cannot spread fragment '{name}' within itself."
+            )
         if name not in self.known:
             found = self.fragments.get(name)
             self.open.add(name)
-            self.known[name] = self.selections(found.selection_set) if found is not None else Shape()
+            self.known[name] = (
+                self.selections(found.selection_set) if found is not None else Shape()
+            )
             self.open.discard(name)
         return self.known[name]
 
@@ -164,15 +206,27 @@
 def check_shape(document: DocumentNode, limits: GraphLimits) -> Shape:
     """The largest of the document's operations in each regard. Raises TooMuch."""
     measure = Measure(document)
-    shapes = [measure.selections(each.selection_set) for each in document.definitions
-              if isinstance(each, OperationDefinitionNode)]
-    spread = [measure.fragment(name) for name in measure.fragments]  # also those that no operation uses:
-    worst = Shape(max((each.depth for each in shapes), default=0),  # validation walks them too
-                  max((each.fields for each in [*shapes, *spread]), default=0),
-                  max((each.aliases for each in [*shapes, *spread]), default=0))
-    for what, got, most in (("depth", worst.depth, limits.depth), ("fields", worst.fields, limits.fields),
-                            ("aliases", worst.aliases, limits.aliases)):
+    shapes = [
+        measure.selections(each.selection_set)
+        for each in document.definitions
+        if isinstance(each, OperationDefinitionNode)
+    ]
+    spread = [
+        measure.fragment(name) for name in measure.fragments
+    ]  # also those that no operation uses:
+    worst = Shape(
+        max((each.depth for each in shapes), default=0),  # validation walks them too
+        max((each.fields for each in [*shapes, *spread]), default=0),
+        max((each.aliases for each in [*shapes, *spread]), default=0),
+    )
+    for what, got, most in (
+        ("depth", worst.depth, limits.depth),
+        ("fields", worst.fields, limits.fields),
+        ("aliases", worst.aliases, limits.aliases),
+    ):
         if got > most:
             said = f"over {CEILING}" if got >= CEILING else str(got)
-            raise TooMuch("OPERATION_TOO_LARGE", f"The operation's {what} is {said}, at most {most} is taken.")
+            raise TooMuch(
+                "OPERATION_TOO_LARGE", f"The operation's {what} is {said}, at most {most} is taken."
+            )
     return worst
