--- a/stepknot/fronts/graphql/plan.py
+++ b/stepknot/fronts/graphql/plan.py
@@ -32,7 +32,14 @@
 )
 from graphql.execution.values import VariableValues, get_argument_values
 
-from stepknot.config.graphql import ID, GraphEntity, GraphLimits, GraphSettings, GraphType, Reference
+from stepknot.config.graphql import (
+    ID,
+    GraphEntity,
+    GraphLimits,
+    GraphSettings,
+    GraphType,
+    Reference,
+)
 from stepknot.config.settings import Index
 from stepknot.fronts.graphql.limits import TooMuch
 from stepknot.fronts.graphql.sdl import key_value
@@ -44,7 +51,14 @@
 
 BAD_INPUT = "BAD_USER_INPUT"
 META = {"__typename", "__schema", "__type", "_service"}
-CALENDAR = {"MINUTE": "minute", "HOUR": "hour", "DAY": "day", "WEEK": "week", "MONTH": "month", "YEAR": "year"}
+CALENDAR = {
+    "MINUTE": "minute",
+    "HOUR": "hour",
+    "DAY": "day",
+    "WEEK": "week",
+    "MONTH": "month",
+    "YEAR": "year",
+}
 WRITES = ("index", "create", "update", "delete")
 Body = dict[str, Any]
 
@@ -87,7 +101,9 @@
 
     response: str
     parts: list[AggregatePart] = field(default_factory=list)
-    counted: list[str] = field(default_factory=list)  # where the answer says how many documents there are
+    counted: list[str] = field(
+        default_factory=list
+    )  # where the answer says how many documents there are
 
 
 @dataclass(slots=True)
@@ -183,7 +199,9 @@
 class Entities:
     response: str
     batches: list[Batch]
-    given: list[Any]  # an error for each representation that is not understood, a stub for what needs no query
+    given: list[
+        Any
+    ]  # an error for each representation that is not understood, a stub for what needs no query
     parts: int = 0
     operation: str = "entities"
 
@@ -219,30 +237,50 @@
 class Planner:
     """Plans one operation. `targets` and `shard` lead to an index's shards, `steps` says how many an operation has."""
 
-    def __init__(self, settings: GraphSettings, schema: GraphQLSchema, operation: OperationDefinitionNode,
-                 fragments: dict[str, FragmentDefinitionNode], variables: VariableValues,
-                 indices: dict[str, Index], targets: Callable[[list[Index], str], list[Target]],
-                 shard: Callable[[Index, str], Target], steps: Callable[[str], int], window: int,
-                 new_id: Callable[[], str], known: dict[Any, CollectedFields] | None = None) -> None:
+    def __init__(
+        self,
+        settings: GraphSettings,
+        schema: GraphQLSchema,
+        operation: OperationDefinitionNode,
+        fragments: dict[str, FragmentDefinitionNode],
+        variables: VariableValues,
+        indices: dict[str, Index],
+        targets: Callable[[list[Index], str], list[Target]],
+        shard: Callable[[Index, str], Target],
+        steps: Callable[[str], int],
+        window: int,
+        new_id: Callable[[], str],
+        known: dict[Any, CollectedFields] | None = None,
+    ) -> None:
         self.settings, self.schema, self.operation = settings, schema, operation
         self.limits: GraphLimits = settings.limits
         self.fragments = {name: FragmentDetails(each) for name, each in fragments.items()}
         self.variables, self.indices = variables, indices
         self.targets, self.shard, self.steps, self.window = targets, shard, steps, window
         self.new_id = new_id
-        self.known = known  # the document's selections, collected before: none where they hang on variables
+        self.known = (
+            known  # the document's selections, collected before: none where they hang on variables
+        )
         self.by_many = {each.many: each for each in settings.types.values()}
         self.by_one = {each.one: each for each in settings.types.values()}
-        self.by_write = {f"{action}{each.name}": (action, each) for each in settings.types.values() if each.writes
-                         for action in WRITES}
+        self.by_write = {
+            f"{action}{each.name}": (action, each)
+            for each in settings.types.values()
+            if each.writes
+            for action in WRITES
+        }
 
     def plan(self) -> Plan:
         """Raises GraphQLError where an argument is wrong, TooMuch where it would cause too much."""
         mutation = self.operation.operation is OperationType.MUTATION
         root = self.schema.mutation_type if mutation else self.schema.query_type
         assert root is not None
-        fields = self.collected((root.name, id(self.operation)), lambda: collect_fields(
-            self.schema, self.fragments, self.variables, root, self.operation))
+        fields = self.collected(
+            (root.name, id(self.operation)),
+            lambda: collect_fields(
+                self.schema, self.fragments, self.variables, root, self.operation
+            ),
+        )
         roots: list[Root] = []
         for response, details in fields.grouped_field_set.items():
             name = details[0].node.name.value
@@ -254,11 +292,15 @@
             except RequestError as error:
                 raise bad(error.reason, details[0].node) from None
         parts, rows = sum(each.parts for each in roots), sum(each.rows for each in roots)
-        for got, most, what in ((parts, self.limits.parts, "cause {} parts at boxes"),
-                                (rows, self.limits.rows, "have up to {} rows in its lists")):
+        for got, most, what in (
+            (parts, self.limits.parts, "cause {} parts at boxes"),
+            (rows, self.limits.rows, "have up to {} rows in its lists"),
+        ):
             if got > most:
-                raise TooMuch("OPERATION_TOO_COSTLY",
-                              f"The operation would {what.format(got)}, at most {most} are taken.")
+                raise TooMuch(
+                    "OPERATION_TOO_COSTLY",
+                    f"The operation would {what.format(got)}, at most {most} are taken.",
+                )
         return Plan(roots, mutation, parts, rows)
 
     def root(self, name: str, response: str, details: FieldDetailsList, arguments: Body) -> Root:
@@ -270,8 +312,14 @@
             kind = self.by_one[name]
             routing = arguments.get("routing") or arguments["id"]
             wanted = self.wanted(kind, details)
-            return One(response, kind, self.shard(self.index(kind), routing), arguments["id"], wanted,
-                       parts=1 + self.linked_parts(wanted, 1))
+            return One(
+                response,
+                kind,
+                self.shard(self.index(kind), routing),
+                arguments["id"],
+                wanted,
+                parts=1 + self.linked_parts(wanted, 1),
+            )
         action, kind = self.by_write[name]
         return self.change(action, kind, response, arguments)
 
@@ -282,8 +330,12 @@
         type_ = self.schema.type_map[kind]
         assert isinstance(type_, GraphQLObjectType)
         # A list of details is known by its identity: what is kept here keeps it.
-        return self.collected((kind, id(details)), lambda: collect_subfields(
-            self.schema, self.fragments, self.variables, self.operation, type_, details))
+        return self.collected(
+            (kind, id(details)),
+            lambda: collect_subfields(
+                self.schema, self.fragments, self.variables, self.operation, type_, details
+            ),
+        )
 
     def collected(self, key: Any, collect: Callable[[], CollectedFields]) -> CollectedFields:
         if self.known is None:
@@ -301,7 +353,9 @@
 
     # --- documents
 
-    def wanted(self, kind: GraphType, *selections: FieldDetailsList, into: Wanted | None = None) -> Wanted:
+    def wanted(
+        self, kind: GraphType, *selections: FieldDetailsList, into: Wanted | None = None
+    ) -> Wanted:
         wanted = into or Wanted()
         for details in selections:
             for inner in self.subfields(kind.name, details).grouped_field_set.values():
@@ -312,12 +366,16 @@
                     self.link(kind, kind.references[name], inner, wanted)
         return wanted
 
-    def link(self, kind: GraphType, reference: Reference, details: FieldDetailsList, wanted: Wanted) -> None:
+    def link(
+        self, kind: GraphType, reference: Reference, details: FieldDetailsList, wanted: Wanted
+    ) -> None:
         entity = self.settings.entities[reference.entity]
         given = {name for name, _ in reference.values}
         key = next(each for each in entity.keys if set(each) <= given)
-        names = [inner[0].node.name.value
-                 for inner in self.subfields(entity.name, details).grouped_field_set.values()]
+        names = [
+            inner[0].node.name.value
+            for inner in self.subfields(entity.name, details).grouped_field_set.values()
+        ]
         measured, lacking = self.measured(entity, names, given)
         had = wanted.links.get(reference.name)
         if had is not None:  # the same reference under two names
@@ -325,8 +383,9 @@
             lacking = had.lacking | lacking
         wanted.links[reference.name] = Linked(reference, entity, key, measured, lacking)
 
-    def measured(self, entity: GraphEntity, names: Sequence[str],
-                 given: set[str]) -> tuple[tuple[Measured, ...], dict[str, str]]:
+    def measured(
+        self, entity: GraphEntity, names: Sequence[str], given: set[str]
+    ) -> tuple[tuple[Measured, ...], dict[str, str]]:
         """The metrics among `names`, and those that need what is not given."""
         found, lacking = [], {}
         for name in dict.fromkeys(names):
@@ -344,23 +403,40 @@
         parts = 0
         for link in wanted.links.values():
             chunks = -(-rows // self.limits.keys)
-            parts += chunks * len(bound_sets(link.entity, link.measured)) * self.index(link.entity).shards
+            parts += (
+                chunks
+                * len(bound_sets(link.entity, link.measured))
+                * self.index(link.entity).shards
+            )
         return parts
 
     # --- connections
 
-    def page(self, kind: GraphType, response: str, details: FieldDetailsList, arguments: Body) -> Page:
+    def page(
+        self, kind: GraphType, response: str, details: FieldDetailsList, arguments: Body
+    ) -> Page:
         first, node = arguments["first"], details[0].node
         if first is None:
             first = 10
         if not 0 <= first <= self.limits.page:
             raise bad(f"first must be from 0 to {self.limits.page}, not {first}", node)
-        wanted, aggregates, rows, counted, scores, cursors = Wanted(), [], False, False, False, False
-        for key, inner in self.subfields(f"{kind.name}Connection", details).grouped_field_set.items():
+        wanted, aggregates, rows, counted, scores, cursors = (
+            Wanted(),
+            [],
+            False,
+            False,
+            False,
+            False,
+        )
+        for key, inner in self.subfields(
+            f"{kind.name}Connection", details
+        ).grouped_field_set.items():
             match inner[0].node.name.value:
                 case "edges":
                     rows = True
-                    for under in self.subfields(f"{kind.name}Edge", inner).grouped_field_set.values():
+                    for under in self.subfields(
+                        f"{kind.name}Edge", inner
+                    ).grouped_field_set.values():
                         name = under[0].node.name.value
                         scores, cursors = scores or name == "score", cursors or name == "cursor"
                         if name == "node":
@@ -377,8 +453,14 @@
                     counted = counted or bool(aggregates[-1].counted)
         sort, order = self.sort(kind, arguments)
         size = min(first + 1, self.window) if rows else 0
-        body: Body = {"query": self.query(kind, arguments), "size": size, "sort": sort, "track_total_hits": counted,
-                      "_source": wanted.source(kind) or False, "track_scores": scores}
+        body: Body = {
+            "query": self.query(kind, arguments),
+            "size": size,
+            "sort": sort,
+            "track_total_hits": counted,
+            "_source": wanted.source(kind) or False,
+            "track_scores": scores,
+        }
         aggs = aggs_body(aggregates)
         if aggs:
             body["aggs"] = aggs
@@ -388,9 +470,13 @@
         search = parse_search(body, {}, self.window)
         routing = arguments.get("routing") or ""
         targets = self.targets([self.index(kind)], routing)
-        page = Page(response, kind, search, targets, first, routing, wanted, order, cursors, aggregates)
+        page = Page(
+            response, kind, search, targets, first, routing, wanted, order, cursors, aggregates
+        )
         page.parts = self.search_parts(page, size) + self.linked_parts(wanted, first)
-        page.rows = (first if rows else 0) + sum(part.rows() for plan in aggregates for part in plan.parts)
+        page.rows = (first if rows else 0) + sum(
+            part.rows() for plan in aggregates for part in plan.parts
+        )
         return page
 
     def search_parts(self, query: Page | ByKey | Counts, rows: int) -> int:
@@ -404,15 +490,29 @@
         seen = set()
         given = arguments.get("sort")
         if given is None:
-            given = [{"by": "RELEVANCE", "order": "DESC"}] if arguments.get("search") is not None else []
+            given = (
+                [{"by": "RELEVANCE", "order": "DESC"}]
+                if arguments.get("search") is not None
+                else []
+            )
         for each in given:
             direction = (each.get("order") or "ASC").lower()
-            name = {"RELEVANCE": "_score", "ID": "_id"}.get(each["by"]) or kind.fields[unescaped(each["by"])].source
+            name = {"RELEVANCE": "_score", "ID": "_id"}.get(each["by"]) or kind.fields[
+                unescaped(each["by"])
+            ].source
             if name in seen:
                 raise bad(f"sort has {each['by']} twice")
             seen.add(name)
-            keys.append({name: {"order": direction} | ({} if name.startswith("_") else {
-                "missing": "_first" if each.get("missingFirst") else "_last"})})
+            keys.append(
+                {
+                    name: {"order": direction}
+                    | (
+                        {}
+                        if name.startswith("_")
+                        else {"missing": "_first" if each.get("missingFirst") else "_last"}
+                    )
+                }
+            )
         if "_id" not in seen:
             keys.append({"_id": {"order": "asc"}})
         return keys, f"{zlib.crc32(orjson.dumps(keys)):08x}"
@@ -440,13 +540,27 @@
             if name == "and" and "and" not in kind.fields:
                 clauses.append({"bool": {"filter": [self.where(kind, each) for each in value]}})
             elif name == "or" and "or" not in kind.fields:
-                clauses.append({"bool": {"should": [self.where(kind, each) for each in value],
-                                         "minimum_should_match": 1}} if value else NONE)
+                clauses.append(
+                    {
+                        "bool": {
+                            "should": [self.where(kind, each) for each in value],
+                            "minimum_should_match": 1,
+                        }
+                    }
+                    if value
+                    else NONE
+                )
             elif name == "not" and "not" not in kind.fields:
                 clauses.append({"bool": {"must_not": [self.where(kind, value)]}})
             else:
                 clauses += self.field_filter(kind.fields[name].source, f"where.{name}", value)
-        return clauses[0] if len(clauses) == 1 else {"bool": {"filter": clauses}} if clauses else {"match_all": {}}
+        return (
+            clauses[0]
+            if len(clauses) == 1
+            else {"bool": {"filter": clauses}}
+            if clauses
+            else {"match_all": {}}
+        )
 
     def field_filter(self, source: str, where: str, given: Body) -> list[Body]:
         clauses: list[Body] = []
@@ -459,9 +573,16 @@
                     clauses.append({"term": {source: value}})
                 case "in":
                     if len(value) > self.limits.keys:
-                        raise bad(f"{where}.in has {len(value)} values, at most {self.limits.keys} are taken")
-                    clauses.append(NONE if not value else {"ids": {"values": value}} if source == "_id"
-                                   else {"terms": {source: value}})
+                        raise bad(
+                            f"{where}.in has {len(value)} values, at most {self.limits.keys} are taken"
+                        )
+                    clauses.append(
+                        NONE
+                        if not value
+                        else {"ids": {"values": value}}
+                        if source == "_id"
+                        else {"terms": {source: value}}
+                    )
                 case "prefix":
                     clauses.append({"prefix": {source: value}})
                 case "match":
@@ -481,24 +602,39 @@
 
     def aggregate(self, kind: GraphType, response: str, details: FieldDetailsList) -> AggregatePlan:
         plan = AggregatePlan(response)
-        for key, inner in self.subfields(f"{kind.name}Aggregate", details).grouped_field_set.items():
+        for key, inner in self.subfields(
+            f"{kind.name}Aggregate", details
+        ).grouped_field_set.items():
             name = inner[0].node.name.value
             if name == "count":
                 plan.counted.append(key)
             if name in META or name == "count":
                 continue
-            part = AggregatePart(key, name, f"{response}:{key}",
-                                 self.agg_body(kind, name, self.arguments(f"{kind.name}Aggregate", inner)))
+            part = AggregatePart(
+                key,
+                name,
+                f"{response}:{key}",
+                self.agg_body(kind, name, self.arguments(f"{kind.name}Aggregate", inner)),
+            )
             bucket = f"{kind.name}Bucket"
             selections = [inner]
             if name == "terms":
-                selections = [under for under in self.subfields(f"{kind.name}Terms", inner).grouped_field_set.values()
-                              if under[0].node.name.value == "buckets"]
+                selections = [
+                    under
+                    for under in self.subfields(
+                        f"{kind.name}Terms", inner
+                    ).grouped_field_set.values()
+                    if under[0].node.name.value == "buckets"
+                ]
             if name in ("terms", "histogram", "dateHistogram"):
                 for each in selections:
-                    part.buckets += [self.aggregate(kind, inner_key, under) for inner_key, under
-                                     in self.subfields(bucket, each).grouped_field_set.items()
-                                     if under[0].node.name.value == "aggregate"]
+                    part.buckets += [
+                        self.aggregate(kind, inner_key, under)
+                        for inner_key, under in self.subfields(
+                            bucket, each
+                        ).grouped_field_set.items()
+                        if under[0].node.name.value == "aggregate"
+                    ]
             plan.parts.append(part)
         return plan
 
@@ -508,11 +644,19 @@
             case "terms":
                 return {"terms": {"field": source, "size": arguments["first"]}}
             case "distinct":
-                return {"cardinality": {"field": source, "precision_threshold": arguments["precision"]}}
+                return {
+                    "cardinality": {"field": source, "precision_threshold": arguments["precision"]}
+                }
             case "stats":
                 return {"stats": {"field": source}}
             case "histogram":
-                return {"histogram": {"field": source, "interval": arguments["interval"], "min_doc_count": 1}}
+                return {
+                    "histogram": {
+                        "field": source,
+                        "interval": arguments["interval"],
+                        "min_doc_count": 1,
+                    }
+                }
         calendar, fixed = arguments.get("calendar"), arguments.get("fixed")
         if (calendar is None) == (fixed is None):
             raise bad('dateHistogram takes one of calendar and fixed, such as fixed: "30d"')
@@ -521,10 +665,15 @@
 
     # --- entities
 
-    def entities(self, response: str, details: FieldDetailsList, representations: list[Any]) -> Entities:
+    def entities(
+        self, response: str, details: FieldDetailsList, representations: list[Any]
+    ) -> Entities:
         if len(representations) > self.limits.keys:
-            raise TooMuch("OPERATION_TOO_COSTLY", f"_entities has {len(representations)} representations, "
-                                                  f"at most {self.limits.keys} are taken.")
+            raise TooMuch(
+                "OPERATION_TOO_COSTLY",
+                f"_entities has {len(representations)} representations, "
+                f"at most {self.limits.keys} are taken.",
+            )
         given: list[Any] = [None] * len(representations)
         ids: dict[str, dict[tuple[Target, str], list[int]]] = {}
         keys: dict[tuple[str, tuple[str, ...]], dict[Key, list[int]]] = {}
@@ -542,13 +691,17 @@
                 target = self.shard(self.index(kind), values[ID])
                 ids.setdefault(name, {}).setdefault((target, values[ID]), []).append(place)
             else:
-                keys.setdefault((name, key), {}).setdefault(tuple(values[part] for part in key), []).append(place)
+                keys.setdefault((name, key), {}).setdefault(
+                    tuple(values[part] for part in key), []
+                ).append(place)
         batches: list[Batch] = []
         for name, by_id in ids.items():
             kind = self.settings.types[name]
             wanted = self.wanted(kind, details)
             shards = len({target for target, _ in by_id})
-            batches.append(ById(kind, wanted, by_id, parts=shards + self.linked_parts(wanted, len(by_id))))
+            batches.append(
+                ById(kind, wanted, by_id, parts=shards + self.linked_parts(wanted, len(by_id)))
+            )
         for (name, key), by_value in keys.items():
             batches.append(self.by_key(self.settings.types[name], key, by_value, details))
         for (name, key), values_at in stubs.items():
@@ -567,59 +720,98 @@
         own = kind or entity
         if own is None or not own.keys:
             raise bad(f"{name[:100]} is not an entity of this subgraph")
-        key = next((each for each in own.keys if all(given.get(part) is not None for part in each)), None)
+        key = next(
+            (each for each in own.keys if all(given.get(part) is not None for part in each)), None
+        )
         if key is None:
             held = ", ".join(" ".join(each) for each in own.keys)
             raise bad(f"a representation of {name} must hold one of its keys: {held}")
         fields: dict[str, Any] = dict(own.fields)
         values = {}
         for part in fields:
-            if given.get(part) is not None and (part in key or getattr(fields[part], "external", False)):
+            if given.get(part) is not None and (
+                part in key or getattr(fields[part], "external", False)
+            ):
                 try:
                     values[part] = key_value(fields[part].kind, given[part])
                 except GraphQLError as error:
                     raise bad(f"{name}.{part}: {error.message}") from None
         return name, key, values
 
-    def by_key(self, kind: GraphType, key: tuple[str, ...], places: dict[Key, list[int]],
-               details: FieldDetailsList) -> ByKey:
+    def by_key(
+        self,
+        kind: GraphType,
+        key: tuple[str, ...],
+        places: dict[Key, list[int]],
+        details: FieldDetailsList,
+    ) -> ByKey:
         wanted = self.wanted(kind, details)
         sources = tuple(kind.fields[part].source for part in key)
         body = documents_search(sources, list(places), wanted.source(kind), self.window)
-        batch = ByKey(kind, wanted, sources, places, parse_search(body, {}, self.window),
-                      self.targets([self.index(kind)], ""))
-        batch.parts = self.search_parts(batch, batch.search.size) + self.linked_parts(wanted, len(places))
+        batch = ByKey(
+            kind,
+            wanted,
+            sources,
+            places,
+            parse_search(body, {}, self.window),
+            self.targets([self.index(kind)], ""),
+        )
+        batch.parts = self.search_parts(batch, batch.search.size) + self.linked_parts(
+            wanted, len(places)
+        )
         return batch
 
-    def counts(self, entity: GraphEntity, key: tuple[str, ...], values_at: dict[int, Body],
-               details: FieldDetailsList, given: list[Any]) -> list[Batch]:
+    def counts(
+        self,
+        entity: GraphEntity,
+        key: tuple[str, ...],
+        values_at: dict[int, Body],
+        details: FieldDetailsList,
+        given: list[Any],
+    ) -> list[Batch]:
         """One batch for each set of bounds that metrics have; `given` gets what is known without asking."""
-        names = [inner[0].node.name.value for inner in self.subfields(entity.name, details).grouped_field_set.values()]
+        names = [
+            inner[0].node.name.value
+            for inner in self.subfields(entity.name, details).grouped_field_set.values()
+        ]
         for place, values in values_at.items():
             given[place] = {"__typename": entity.name, **values}
         batches: list[Batch] = []
         for bounds in bound_sets(entity, self.measured(entity, names, set(entity.fields))[0]):
             required = {name for _, _, name in bounds}
-            measured = tuple(Measured(name, entity.metrics[name].kind, entity.metrics[name].source)
-                             for name in dict.fromkeys(names) if name in entity.metrics
-                             and entity.metrics[name].bounds == bounds)
+            measured = tuple(
+                Measured(name, entity.metrics[name].kind, entity.metrics[name].source)
+                for name in dict.fromkeys(names)
+                if name in entity.metrics and entity.metrics[name].bounds == bounds
+            )
             groups: dict[Group, list[int]] = {}
             for place, values in values_at.items():
                 missing = sorted(required - values.keys())
                 if missing:
                     for each in measured:
-                        given[place][each.name] = bad(f"{entity.name}.{each.name} needs {missing[0]}, which the "
-                                                      "representation does not hold")
+                        given[place][each.name] = bad(
+                            f"{entity.name}.{each.name} needs {missing[0]}, which the "
+                            "representation does not hold"
+                        )
                     continue
-                group = Group(tuple(values[part] for part in key), tuple(
-                    Bound(source, relation, values[name]) for source, relation, name in bounds))
+                group = Group(
+                    tuple(values[part] for part in key),
+                    tuple(
+                        Bound(source, relation, values[name]) for source, relation, name in bounds
+                    ),
+                )
                 groups.setdefault(group, []).append(place)
             if groups:
                 batches.append(self.counted(entity, key, groups, measured))
         return batches
 
-    def counted(self, entity: GraphEntity, key: tuple[str, ...], groups: dict[Group, list[int]],
-                measured: tuple[Measured, ...]) -> Counts:
+    def counted(
+        self,
+        entity: GraphEntity,
+        key: tuple[str, ...],
+        groups: dict[Group, list[int]],
+        measured: tuple[Measured, ...],
+    ) -> Counts:
         sources = tuple(entity.fields[part].source for part in key)
         search = parse_search(groups_search(sources, list(groups), measured), {}, self.window)
         batch = Counts(entity, groups, measured, search, self.targets([self.index(entity)], ""))
@@ -635,10 +827,14 @@
         routing = arguments.get("routing") or ""
         body: Any = None
         if "document" in arguments:
-            body = {kind.fields[name].source: value for name, value in arguments["document"].items()}
+            body = {
+                kind.fields[name].source: value for name, value in arguments["document"].items()
+            }
         if action == "update":
             body = {"doc": body} | ({"doc_as_upsert": True} if arguments.get("upsert") else {})
-        write = Write(action, self.shard(self.index(kind), routing or identity), identity, routing, body)
+        write = Write(
+            action, self.shard(self.index(kind), routing or identity), identity, routing, body
+        )
         write.lines()  # what is wrong with it is told before anything is sent
         return Change(response, kind, write)
 
@@ -646,7 +842,9 @@
 NONE: Body = {"bool": {"must_not": [{"match_all": {}}]}}
 
 
-def bound_sets(entity: GraphEntity, measured: Sequence[Measured]) -> list[tuple[tuple[str, str, str], ...]]:
+def bound_sets(
+    entity: GraphEntity, measured: Sequence[Measured]
+) -> list[tuple[tuple[str, str, str], ...]]:
     """The different ways in which these metrics narrow their documents: a search each."""
     return list(dict.fromkeys(entity.metrics[each.name].bounds for each in measured))
 
@@ -666,7 +864,11 @@
         found = orjson.loads(base64.urlsafe_b64decode(text + "=" * (-len(text) % 4)))
     except (ValueError, binascii.Error):
         found = None
-    if not isinstance(found, list) or len(found) != width + 1 or any(isinstance(each, (list, dict)) for each in found):
+    if (
+        not isinstance(found, list)
+        or len(found) != width + 1
+        or any(isinstance(each, (list, dict)) for each in found)
+    ):
         raise bad("after is not a cursor of this field", node)
     if found[0] != order:
         raise bad("after is a cursor of another sort", node)
--- a/stepknot/fronts/graphql/run.py
+++ b/stepknot/fronts/graphql/run.py
@@ -62,9 +62,15 @@
 def ended(result: Result, writes: bool) -> GraphQLError:
     """Of a query that was refused or failed."""
     if result.status is Status.REFUSED:
-        more = {"retryAfterMs": int(result.retry_after * 1000 + 0.999)} if result.retry_after else {}
-        return bad("refused: nothing of it has taken effect, trying again is harmless", code=REFUSED,
-                   repeatable=True, **more)
+        more = (
+            {"retryAfterMs": int(result.retry_after * 1000 + 0.999)} if result.retry_after else {}
+        )
+        return bad(
+            "refused: nothing of it has taken effect, trying again is harmless",
+            code=REFUSED,
+            repeatable=True,
+            **more,
+        )
     if writes:
         return bad("given up: it may or may not have taken effect", code=UNKNOWN, repeatable=False)
     return bad("given up: too few shards answered", code=FAILED, repeatable=True)
@@ -77,7 +83,9 @@
 class Runner:
     """One operation on the core. `said` gathers each query's coverage, `retry_after` the longest advice."""
 
-    def __init__(self, queries: Queries, planner: Planner, client: Client, hang_up: HangUp, deadline: float) -> None:
+    def __init__(
+        self, queries: Queries, planner: Planner, client: Client, hang_up: HangUp, deadline: float
+    ) -> None:
         self.queries, self.planner, self.client, self.deadline = queries, planner, client, deadline
         self.loop = queries.core.loop
         self.party = Party(self.loop, hang_up)
@@ -116,9 +124,13 @@
 
     def named(self, path: tuple[str | int, ...]) -> Client:
         """The client of one of the operation's queries: boxes and logs see the operation's name and the place."""
-        return replace(self.client, name=f"{self.client.name}~{'.'.join(map(str, path))}"[:MOST_NAME])
+        return replace(
+            self.client, name=f"{self.client.name}~{'.'.join(map(str, path))}"[:MOST_NAME]
+        )
 
-    def note(self, outcome: Outcome, path: tuple[str | int, ...], writes: bool = False) -> GraphQLError | None:
+    def note(
+        self, outcome: Outcome, path: tuple[str | int, ...], writes: bool = False
+    ) -> GraphQLError | None:
         """Takes down how a query ended; an error where it brought no answer."""
         if outcome.result is None:
             raise ClientGone if self.party.left else bad("ended with the broker", code=FAILED)
@@ -132,38 +144,57 @@
 
     def page(self, root: Page) -> Steps:
         outcome: Outcome = yield from self.queries.search(
-            root.search, root.targets, root.operation, self.named((root.response,)), root.routing, self.party.hang_up)
+            root.search,
+            root.targets,
+            root.operation,
+            self.named((root.response,)),
+            root.routing,
+            self.party.hang_up,
+        )
         error = self.note(outcome, (root.response,))
         if error is not None:
             return error
         assert outcome.merged is not None
         merged, documents = outcome.merged, outcome.documents or {}
-        rows = merged.rows[:root.first]
+        rows = merged.rows[: root.first]
         nodes: list[Any] = []
         for target, row in rows:
             if root.search.source is False:
                 nodes.append(node_of(root.kind, root.wanted, row["_id"], {}))
                 continue
             found = documents.get((target, row["_id"])) if outcome.documents is not None else row
-            nodes.append(bad("its document could not be fetched", code=FAILED, repeatable=True) if found is None
-                         else node_of(root.kind, root.wanted, row["_id"], found.get("_source", {})))
+            nodes.append(
+                bad("its document could not be fetched", code=FAILED, repeatable=True)
+                if found is None
+                else node_of(root.kind, root.wanted, row["_id"], found.get("_source", {}))
+            )
         yield from self.follow(root.wanted, root.kind, nodes, (root.response,))
         cursors = [cursor(root.order, row["sort"]) if root.cursors else None for _, row in rows]
         return {
-            "edges": [{"cursor": mark, "score": row.get("_score"), "node": node}
-                      for (_, row), mark, node in zip(rows, cursors, nodes, strict=True)],
+            "edges": [
+                {"cursor": mark, "score": row.get("_score"), "node": node}
+                for (_, row), mark, node in zip(rows, cursors, nodes, strict=True)
+            ],
             "nodes": nodes,
-            "pageInfo": {"hasNextPage": len(merged.rows) > root.first, "startCursor": cursors[0] if cursors else None,
-                         "hasPreviousPage": root.search.search_after is not None,
-                         "endCursor": cursors[-1] if cursors else None},
-            "totalCount": merged.total, "totalIsExact": merged.exact,
+            "pageInfo": {
+                "hasNextPage": len(merged.rows) > root.first,
+                "startCursor": cursors[0] if cursors else None,
+                "hasPreviousPage": root.search.search_after is not None,
+                "endCursor": cursors[-1] if cursors else None,
+            },
+            "totalCount": merged.total,
+            "totalIsExact": merged.exact,
             "aggregate": aggregates_of(root.aggregates, merged.aggregations, merged.total),
         }
 
     def one(self, root: One) -> Steps:
         outcome: Outcome = yield from self.queries.documents(
-            [(root.target, root.identity)], root.wanted.source(root.kind), root.operation,
-            self.named((root.response,)), self.party.hang_up)
+            [(root.target, root.identity)],
+            root.wanted.source(root.kind),
+            root.operation,
+            self.named((root.response,)),
+            self.party.hang_up,
+        )
         error = self.note(outcome, (root.response,))
         if error is not None:
             return error
@@ -171,14 +202,19 @@
         yield from self.follow(root.wanted, root.kind, nodes, (root.response,))
         return nodes[0]
 
-    def document(self, outcome: Outcome, kind: GraphType, wanted: Wanted, target: Target, identity: str) -> Any:
+    def document(
+        self, outcome: Outcome, kind: GraphType, wanted: Wanted, target: Target, identity: str
+    ) -> Any:
         """None where there is none; an error where its shard did not say."""
         assert outcome.documents is not None
         row = outcome.documents.get((target, identity))
         if row is not None:
             return node_of(kind, wanted, identity, row.get("_source", {}))
-        served = any(part.served for part, each in zip(outcome.parts, outcome.targets, strict=True)
-                     if each == target)
+        served = any(
+            part.served
+            for part, each in zip(outcome.parts, outcome.targets, strict=True)
+            if each == target
+        )
         return None if served else bad("its shard did not answer", code=FAILED, repeatable=True)
 
     # --- entities
@@ -215,11 +251,18 @@
 
     def by_id(self, batch: ById, values: list[Any], path: tuple[str | int, ...]) -> Steps:
         outcome: Outcome = yield from self.queries.documents(
-            list(batch.places), batch.wanted.source(batch.kind), batch.operation, self.named(path), self.party.hang_up)
+            list(batch.places),
+            batch.wanted.source(batch.kind),
+            batch.operation,
+            self.named(path),
+            self.party.hang_up,
+        )
         error = self.note(outcome, path)
         if error is not None:
             return error
-        nodes = {key: self.document(outcome, batch.kind, batch.wanted, *key) for key in batch.places}
+        nodes = {
+            key: self.document(outcome, batch.kind, batch.wanted, *key) for key in batch.places
+        }
         yield from self.follow(batch.wanted, batch.kind, list(nodes.values()), path)
         for key, places in batch.places.items():
             for place in places:
@@ -228,14 +271,19 @@
 
     def by_key(self, batch: ByKey, values: list[Any], path: tuple[str | int, ...]) -> Steps:
         outcome: Outcome = yield from self.queries.search(
-            batch.search, batch.targets, batch.operation, self.named(path), "", self.party.hang_up)
+            batch.search, batch.targets, batch.operation, self.named(path), "", self.party.hang_up
+        )
         error = self.note(outcome, path)
         if error is not None:
             return error
         assert outcome.merged is not None
         rows = []
         for target, row in outcome.merged.rows:
-            found = outcome.documents.get((target, row["_id"])) if outcome.documents is not None else row
+            found = (
+                outcome.documents.get((target, row["_id"]))
+                if outcome.documents is not None
+                else row
+            )
             if found is not None:
                 source = found.get("_source", {})
                 rows.append((node_of(batch.kind, batch.wanted, row["_id"], source), source))
@@ -247,9 +295,16 @@
             if key in found_by_key.shared:
                 value = bad("several documents hold this key", code=SHARED)
             elif value is None and not whole:
-                value = bad("not found where shards answered, and some did not", code=FAILED, repeatable=True)
+                value = bad(
+                    "not found where shards answered, and some did not",
+                    code=FAILED,
+                    repeatable=True,
+                )
             elif value is None and found_by_key.cut:
-                value = bad("several documents hold some of these keys: this one's were not reached", code=SHARED)
+                value = bad(
+                    "several documents hold some of these keys: this one's were not reached",
+                    code=SHARED,
+                )
             for place in places:
                 values[place] = value
         return None
@@ -257,11 +312,15 @@
     def counted(self, batch: Counts, path: tuple[str | int, ...]) -> Steps:
         """Values by group. From some of the shards there is no count: each metric is an error then."""
         outcome: Outcome = yield from self.queries.search(
-            batch.search, batch.targets, batch.operation, self.named(path), "", self.party.hang_up)
+            batch.search, batch.targets, batch.operation, self.named(path), "", self.party.hang_up
+        )
         error = self.note(outcome, path)
         if error is None and not outcome.coverage().whole:
-            error = bad("some shards did not answer, and a count of the others would be too low", code=FAILED,
-                        repeatable=True)
+            error = bad(
+                "some shards did not answer, and a count of the others would be too low",
+                code=FAILED,
+                repeatable=True,
+            )
         if error is not None:
             return {group: {each.name: error for each in batch.measured} for group in batch.groups}
         assert outcome.merged is not None
@@ -269,18 +328,29 @@
 
     # --- references
 
-    def follow(self, wanted: Wanted, kind: GraphType, nodes: list[Any], path: tuple[str | int, ...]) -> Steps:
+    def follow(
+        self, wanted: Wanted, kind: GraphType, nodes: list[Any], path: tuple[str | int, ...]
+    ) -> Steps:
         """Counts of the entities that these documents lead to: one search for all of them, beside each other."""
         rows = [each for each in nodes if isinstance(each, dict)]
-        tasks = [self.loop.spawn(self.follow_one(link, bounds, rows, (*path, name)), "reference")
-                 for name, link in wanted.links.items()
-                 for bounds in bound_sets(link.entity, link.measured)]
+        tasks = [
+            self.loop.spawn(self.follow_one(link, bounds, rows, (*path, name)), "reference")
+            for name, link in wanted.links.items()
+            for bounds in bound_sets(link.entity, link.measured)
+        ]
         for task in tasks:
             yield from task.wait()
 
-    def follow_one(self, link: Linked, bounds: tuple[tuple[str, str, str], ...], rows: list[Values],
-                   path: tuple[str | int, ...]) -> Steps:
-        measured = tuple(each for each in link.measured if link.entity.metrics[each.name].bounds == bounds)
+    def follow_one(
+        self,
+        link: Linked,
+        bounds: tuple[tuple[str, str, str], ...],
+        rows: list[Values],
+        path: tuple[str | int, ...],
+    ) -> Steps:
+        measured = tuple(
+            each for each in link.measured if link.entity.metrics[each.name].bounds == bounds
+        )
         stubs: dict[Group, list[Values]] = {}
         for row in rows:
             stub = row[link.reference.name]
@@ -290,21 +360,30 @@
             if missing:
                 stub |= {each.name: lacking(link, each.name, missing[0]) for each in measured}
                 continue
-            group = Group(tuple(stub[name] for name in link.key),
-                          tuple(Bound(source, relation, stub[name]) for source, relation, name in bounds))
+            group = Group(
+                tuple(stub[name] for name in link.key),
+                tuple(Bound(source, relation, stub[name]) for source, relation, name in bounds),
+            )
             stubs.setdefault(group, []).append(stub)
         most = self.planner.limits.keys
         groups = list(stubs)
         for start in range(0, len(groups), most):
-            some = groups[start:start + most]
+            some = groups[start : start + most]
             found = yield from self.linked_counts(link, some, measured, path)
             for group in some:
                 for stub in stubs[group]:
                     stub |= found[group]
 
-    def linked_counts(self, link: Linked, groups: list[Group], measured: tuple[Measured, ...],
-                      path: tuple[str | int, ...]) -> Steps:
-        batch = self.planner.counted(link.entity, link.key, {group: [] for group in groups}, measured)
+    def linked_counts(
+        self,
+        link: Linked,
+        groups: list[Group],
+        measured: tuple[Measured, ...],
+        path: tuple[str | int, ...],
+    ) -> Steps:
+        batch = self.planner.counted(
+            link.entity, link.key, {group: [] for group in groups}, measured
+        )
         try:
             return (yield from self.counted(batch, path))
         except RequestError as error:
@@ -323,7 +402,8 @@
             return bad("not begun: the operation's time was over", code=LATE, repeatable=True)
         try:
             outcome, _ = yield from self.queries.write(
-                [root.write], root.operation, self.named((root.response,)), True, self.party.hang_up)
+                [root.write], root.operation, self.named((root.response,)), True, self.party.hang_up
+            )
             error = self.note(outcome, (root.response,), writes=True)
         except RequestError as failure:
             return reason_of(failure)
@@ -331,11 +411,17 @@
             return error
         item = next(iter(outcome.parts[0].answer[0].values()))
         if "error" in item:
-            code = WRITE_CODES.get(item["status"], "BAD_USER_INPUT" if item["status"] < 500 else FAILED)
+            code = WRITE_CODES.get(
+                item["status"], "BAD_USER_INPUT" if item["status"] < 500 else FAILED
+            )
             return bad(str(item["error"].get("reason", "")), code=code, status=item["status"])
         if item["status"] == 404:
             return bad("there is no such document", code="NOT_FOUND", status=404)
-        return {"id": root.write.identity, "result": item.get("result", ""), "version": item.get("_version", 0)}
+        return {
+            "id": root.write.identity,
+            "result": item.get("result", ""),
+            "version": item.get("_version", 0),
+        }
 
 
 # --- values
@@ -347,7 +433,9 @@
         if name != ID:
             field = kind.fields[name]
             value = source.get(field.source)
-            plain = value.__class__ is str or value.__class__ is int  # most of them: no more is to be looked at
+            plain = (
+                value.__class__ is str or value.__class__ is int
+            )  # most of them: no more is to be looked at
             node[name] = value if plain and not field.many else field_value(field, identity, source)
     for name, link in wanted.links.items():
         stub: Values | None = {"__typename": link.entity.name}
@@ -359,7 +447,9 @@
             assert stub is not None
             stub[key] = value
         if stub is not None:
-            stub |= {metric: lacking(link, metric, needed) for metric, needed in link.lacking.items()}
+            stub |= {
+                metric: lacking(link, metric, needed) for metric, needed in link.lacking.items()
+            }
         node[name] = stub
     return node
 
@@ -381,8 +471,10 @@
         return value if value is None or isinstance(value, list) else [value]
     if isinstance(value, list):
         if len(value) > 1:
-            return bad(f"the document holds {len(value)} values; the settings can say many = true",
-                       code="SEVERAL_VALUES")
+            return bad(
+                f"the document holds {len(value)} values; the settings can say many = true",
+                code="SEVERAL_VALUES",
+            )
         value = value[0] if value else None
     return value
 
@@ -397,16 +489,21 @@
             match part.kind:
                 case "stats":
                     empty = not result["count"]
-                    inner[part.response] = {name: None if empty and name != "count" else result[name]
-                                            for name in ("count", "min", "max", "avg", "sum")}
+                    inner[part.response] = {
+                        name: None if empty and name != "count" else result[name]
+                        for name in ("count", "min", "max", "avg", "sum")
+                    }
                 case "distinct":
-                    inner[part.response] = {"value": result["value"],
-                                            "lowerBound": bool(result.get("lower_bound", False))}
+                    inner[part.response] = {
+                        "value": result["value"],
+                        "lowerBound": bool(result.get("lower_bound", False)),
+                    }
                 case "terms":
                     inner[part.response] = {
                         "buckets": buckets_of(part.buckets, result["buckets"]),
                         "errorUpperBound": result["doc_count_error_upper_bound"],
-                        "otherCount": result["sum_other_doc_count"]}
+                        "otherCount": result["sum_other_doc_count"],
+                    }
                 case _:
                     inner[part.response] = buckets_of(part.buckets, result["buckets"])
         made[plan.response] = inner
@@ -414,5 +511,11 @@
 
 
 def buckets_of(plans: list[AggregatePlan], buckets: list[Values]) -> list[Values]:
-    return [{"key": str(each.get("key_as_string", each["key"])), "count": each["doc_count"],
-             "aggregate": aggregates_of(plans, each, each["doc_count"])} for each in buckets]
+    return [
+        {
+            "key": str(each.get("key_as_string", each["key"])),
+            "count": each["doc_count"],
+            "aggregate": aggregates_of(plans, each, each["doc_count"]),
+        }
+        for each in buckets
+    ]
--- a/stepknot/fronts/graphql/sdl.py
+++ b/stepknot/fronts/graphql/sdl.py
@@ -11,7 +11,14 @@
 from collections.abc import Callable
 from typing import Any
 
-from graphql import GraphQLError, GraphQLScalarType, GraphQLSchema, GraphQLUnionType, build_schema, print_ast
+from graphql import (
+    GraphQLError,
+    GraphQLScalarType,
+    GraphQLSchema,
+    GraphQLUnionType,
+    build_schema,
+    print_ast,
+)
 from graphql.language import IntValueNode, StringValueNode
 
 from stepknot.config.graphql import (
@@ -28,11 +35,30 @@
 )
 
 FEDERATION = "https://specs.apollo.dev/federation/v2.3"
-IMPORTS = ("key", "shareable", "external", "requires", "provides", "override", "inaccessible", "tag")
+IMPORTS = (
+    "key",
+    "shareable",
+    "external",
+    "requires",
+    "provides",
+    "override",
+    "inaccessible",
+    "tag",
+)
 TERM_TYPES = ("keyword", "boolean", "long", "integer", "short", "byte", "date")
-FILTERS = {"text": "TextFilter", "keyword": "KeywordFilter", "boolean": "BooleanFilter", "date": "DateTimeFilter",
-           "long": "LongFilter", "integer": "IntFilter", "short": "IntFilter", "byte": "IntFilter",
-           "double": "FloatFilter", "float": "FloatFilter", "id": "IDFilter"}
+FILTERS = {
+    "text": "TextFilter",
+    "keyword": "KeywordFilter",
+    "boolean": "BooleanFilter",
+    "date": "DateTimeFilter",
+    "long": "LongFilter",
+    "integer": "IntFilter",
+    "short": "IntFilter",
+    "byte": "IntFilter",
+    "double": "FloatFilter",
+    "float": "FloatFilter",
+    "id": "IDFilter",
+}
 
 DIRECTIVES = """\
 directive @key(fields: FieldSet!, resolvable: Boolean = true) repeatable on OBJECT | INTERFACE
@@ -102,8 +128,18 @@
     "TextFilter": ["match: String", "matchAll: String", "exists: Boolean"],
     "KeywordFilter": ["eq: String", "in: [String!]", "prefix: String", "exists: Boolean"],
     "BooleanFilter": ["eq: Boolean", "exists: Boolean"],
-    **{f"{scalar}Filter": [f"eq: {scalar}", f"in: [{scalar}!]", f"gt: {scalar}", f"gte: {scalar}", f"lt: {scalar}",
-                           f"lte: {scalar}", "exists: Boolean"] for scalar in ("Long", "Int", "Float", "DateTime")},
+    **{
+        f"{scalar}Filter": [
+            f"eq: {scalar}",
+            f"in: [{scalar}!]",
+            f"gt: {scalar}",
+            f"gte: {scalar}",
+            f"lt: {scalar}",
+            f"lte: {scalar}",
+            "exists: Boolean",
+        ]
+        for scalar in ("Long", "Int", "Float", "DateTime")
+    },
 }
 
 
@@ -147,59 +183,112 @@
 def type_text(kind: GraphType) -> list[str]:
     """A type's own definitions: itself, its connection, its filter and sort, its aggregations and writes."""
     name = kind.name
-    lines = [f"{each.name}: {field_type(each)}{marks_text(each.marks)}" for each in kind.fields.values()]
-    lines += [f"{each.name}: {each.entity}" + (
-        f" @provides(fields: {quoted(' '.join(each.provides))})" if each.provides else "") + marks_text(each.marks)
-        for each in kind.references.values()]
-    terms, numbers, dates = by_kind(kind, TERM_TYPES), by_kind(kind, NUMBERS), by_kind(kind, ("date",))
+    lines = [
+        f"{each.name}: {field_type(each)}{marks_text(each.marks)}" for each in kind.fields.values()
+    ]
+    lines += [
+        f"{each.name}: {each.entity}"
+        + (f" @provides(fields: {quoted(' '.join(each.provides))})" if each.provides else "")
+        + marks_text(each.marks)
+        for each in kind.references.values()
+    ]
+    terms, numbers, dates = (
+        by_kind(kind, TERM_TYPES),
+        by_kind(kind, NUMBERS),
+        by_kind(kind, ("date",)),
+    )
     sortable = [each for each in kind.fields.values() if each.kind not in ("text", "id")]
     aggregate = ["count: Long!"]
     if terms:
-        aggregate += [f"terms(field: {name}TermsField!, first: Int = 10): {name}Terms!",
-                      f"distinct(field: {name}TermsField!, precision: Int = 3000): SearchDistinct!"]
+        aggregate += [
+            f"terms(field: {name}TermsField!, first: Int = 10): {name}Terms!",
+            f"distinct(field: {name}TermsField!, precision: Int = 3000): SearchDistinct!",
+        ]
     if numbers or dates:
-        aggregate += [f"stats(field: {name}NumberField!): SearchStats!",
-                      f"histogram(field: {name}NumberField!, interval: Float!): [{name}Bucket!]!"]
+        aggregate += [
+            f"stats(field: {name}NumberField!): SearchStats!",
+            f"histogram(field: {name}NumberField!, interval: Float!): [{name}Bucket!]!",
+        ]
     if dates:
-        aggregate.append(f"dateHistogram(field: {name}DateField!, calendar: CalendarUnit, fixed: String): "
-                         f"[{name}Bucket!]!")
+        aggregate.append(
+            f"dateHistogram(field: {name}DateField!, calendar: CalendarUnit, fixed: String): "
+            f"[{name}Bucket!]!"
+        )
     made = [
         block(f"type {name}{keys_text(kind.keys)}{marks_text(kind.marks)}", lines),
-        block(f"type {name}Connection", [f"edges: [{name}Edge!]!", f"nodes: [{name}]!", "pageInfo: PageInfo!",
-                                         "totalCount: Long!", "totalIsExact: Boolean!",
-                                         f"aggregate: {name}Aggregate!"]),
+        block(
+            f"type {name}Connection",
+            [
+                f"edges: [{name}Edge!]!",
+                f"nodes: [{name}]!",
+                "pageInfo: PageInfo!",
+                "totalCount: Long!",
+                "totalIsExact: Boolean!",
+                f"aggregate: {name}Aggregate!",
+            ],
+        ),
         block(f"type {name}Edge", ["cursor: String!", "score: Float", f"node: {name}"]),
         block(f"type {name}Aggregate", aggregate),
-        block(f"type {name}Bucket", ["key: String!", "count: Long!", f"aggregate: {name}Aggregate!"]),
-        block(f"input {name}Filter", [
-            f"and: [{name}Filter!]", f"or: [{name}Filter!]", f"not: {name}Filter",
-            *(f"{each.name}: {FILTERS[each.kind]}" for each in kind.fields.values()
-              if each.name not in ("and", "or", "not"))]),
+        block(
+            f"type {name}Bucket", ["key: String!", "count: Long!", f"aggregate: {name}Aggregate!"]
+        ),
+        block(
+            f"input {name}Filter",
+            [
+                f"and: [{name}Filter!]",
+                f"or: [{name}Filter!]",
+                f"not: {name}Filter",
+                *(
+                    f"{each.name}: {FILTERS[each.kind]}"
+                    for each in kind.fields.values()
+                    if each.name not in ("and", "or", "not")
+                ),
+            ],
+        ),
         field_enum(f"{name}SortField", sortable, ("RELEVANCE", "ID")),
-        block(f"input {name}Sort", [f"by: {name}SortField!", "order: SortOrder = ASC",
-                                    "missingFirst: Boolean = false"]),
+        block(
+            f"input {name}Sort",
+            [f"by: {name}SortField!", "order: SortOrder = ASC", "missingFirst: Boolean = false"],
+        ),
     ]
     if terms:
-        made += [field_enum(f"{name}TermsField", terms),
-                 block(f"type {name}Terms", [f"buckets: [{name}Bucket!]!", "errorUpperBound: Long!",
-                                             "otherCount: Long!"])]
+        made += [
+            field_enum(f"{name}TermsField", terms),
+            block(
+                f"type {name}Terms",
+                [f"buckets: [{name}Bucket!]!", "errorUpperBound: Long!", "otherCount: Long!"],
+            ),
+        ]
     if numbers or dates:
         made.append(field_enum(f"{name}NumberField", [*numbers, *dates]))
     if dates:
         made.append(field_enum(f"{name}DateField", dates))
     if kind.writes:
-        made += [block(f"input {name}Input", [f"{each.name}: {'[' + each.scalar + '!]' if each.many else each.scalar}"
-                                              for each in kind.fields.values() if each.kind != "id"]),
-                 block(f"type {name}Write", ["id: ID!", "result: String!", "version: Long!"])]
+        made += [
+            block(
+                f"input {name}Input",
+                [
+                    f"{each.name}: {'[' + each.scalar + '!]' if each.many else each.scalar}"
+                    for each in kind.fields.values()
+                    if each.kind != "id"
+                ],
+            ),
+            block(f"type {name}Write", ["id: ID!", "result: String!", "version: Long!"]),
+        ]
     return made
 
 
 def entity_text(entity: GraphEntity) -> str:
     key_fields = {name for key in entity.keys for name in key}
-    lines = [f"{each.name}: {SCALARS[each.kind]}{'!' if each.name in key_fields else ''}"
-             f"{' @external' if each.external else ''}{marks_text(each.marks)}" for each in entity.fields.values()]
+    lines = [
+        f"{each.name}: {SCALARS[each.kind]}{'!' if each.name in key_fields else ''}"
+        f"{' @external' if each.external else ''}{marks_text(each.marks)}"
+        for each in entity.fields.values()
+    ]
     for metric in entity.metrics.values():
-        requires = f" @requires(fields: {quoted(' '.join(metric.requires))})" if metric.requires else ""
+        requires = (
+            f" @requires(fields: {quoted(' '.join(metric.requires))})" if metric.requires else ""
+        )
         lines.append(f"{metric.name}: {metric_type(metric)}{requires}{marks_text(metric.marks)}")
     return block(f"type {entity.name}{keys_text(entity.keys)}{marks_text(entity.marks)}", lines)
 
@@ -214,23 +303,25 @@
     return [
         f"{kind.many}(first: Int = 10, after: String, search: String, where: {kind.name}Filter, "
         f"sort: [{kind.name}Sort!], routing: String): {kind.name}Connection",
-        f"{kind.one}(id: ID!, routing: String): {kind.name}"]
+        f"{kind.one}(id: ID!, routing: String): {kind.name}",
+    ]
 
 
 def mutation_lines(kind: GraphType) -> list[str]:
     name = kind.name
-    return [f"index{name}(id: ID!, document: {name}Input!, routing: String): {name}Write",
-            f"create{name}(id: ID, document: {name}Input!, routing: String): {name}Write",
-            f"update{name}(id: ID!, document: {name}Input!, upsert: Boolean = false, routing: String): {name}Write",
-            f"delete{name}(id: ID!, routing: String): {name}Write"]
+    return [
+        f"index{name}(id: ID!, document: {name}Input!, routing: String): {name}Write",
+        f"create{name}(id: ID, document: {name}Input!, routing: String): {name}Write",
+        f"update{name}(id: ID!, document: {name}Input!, upsert: Boolean = false, routing: String): {name}Write",
+        f"delete{name}(id: ID!, routing: String): {name}Write",
+    ]
 
 
 def subgraph_sdl(settings: GraphSettings) -> str:
     imports = ", ".join(quoted(f"@{each}") for each in IMPORTS)
     text = [f"extend schema @link(url: {quoted(FEDERATION)}, import: [{imports}])\n", COMMON]
     used = {FILTERS[each.kind] for kind in settings.types.values() for each in kind.fields.values()}
-    text += [block(f"input {name}", FILTER_INPUTS[name])
-             for name in FILTER_INPUTS if name in used]
+    text += [block(f"input {name}", FILTER_INPUTS[name]) for name in FILTER_INPUTS if name in used]
     for name in sorted(settings.types):
         text += type_text(settings.types[name])
     text += [entity_text(settings.entities[name]) for name in sorted(settings.entities)]
@@ -245,11 +336,16 @@
 def executable(settings: GraphSettings) -> GraphQLSchema:
     """The schema that operations run against. Raises GraphQLError, TypeError where the settings make none."""
     sdl = subgraph_sdl(settings).partition("\n")[2]  # its first line is for composition
-    entities = [*sorted(name for name, kind in settings.types.items() if kind.keys), *sorted(settings.entities)]
+    entities = [
+        *sorted(name for name, kind in settings.types.items() if kind.keys),
+        *sorted(settings.entities),
+    ]
     more = "extend type Query { _service: _Service! }\n"
     if entities:
-        more += (f"union _Entity = {' | '.join(entities)}\n"
-                 "extend type Query { _entities(representations: [_Any!]!): [_Entity]! }\n")
+        more += (
+            f"union _Entity = {' | '.join(entities)}\n"
+            "extend type Query { _entities(representations: [_Any!]!): [_Entity]! }\n"
+        )
     schema = build_schema(sdl + DIRECTIVES + more)
     for name, (serialize, parse) in SCALAR_CODECS.items():
         scalar = schema.type_map.get(name)
@@ -287,7 +383,7 @@
         value = int(value)
     if isinstance(value, float) and value.is_integer():
         value = int(value)
-    if not isinstance(value, int) or isinstance(value, bool) or not -2**63 <= value < 2**63:
+    if not isinstance(value, int) or isinstance(value, bool) or not -(2**63) <= value < 2**63:
         raise GraphQLError("expected a whole number of up to 64 bits")
     return value
 
@@ -318,11 +414,15 @@
             moment = moment if moment.tzinfo else moment.replace(tzinfo=datetime.UTC)
             epoch = datetime.datetime(1970, 1, 1, tzinfo=datetime.UTC)
             return (moment - epoch) // datetime.timedelta(milliseconds=1)
-    raise GraphQLError("expected a moment in ISO 8601, such as 2026-01-31T12:00:00Z, or milliseconds since 1970")
+    raise GraphQLError(
+        "expected a moment in ISO 8601, such as 2026-01-31T12:00:00Z, or milliseconds since 1970"
+    )
 
 
 SCALAR_CODECS: dict[str, tuple[Callable[[Any], Any], Callable[[Any], Any]]] = {
-    "Long": (long_out, long_in), "DateTime": (date_out, date_in)}
+    "Long": (long_out, long_in),
+    "DateTime": (date_out, date_in),
+}
 
 
 def key_value(kind: str, value: Any) -> Any:
@@ -337,7 +437,11 @@
         return value
     if kind == "id" and isinstance(value, int) and not isinstance(value, bool):
         return str(value)
-    if kind in ("double", "float") and isinstance(value, (int, float)) and not isinstance(value, bool):
+    if (
+        kind in ("double", "float")
+        and isinstance(value, (int, float))
+        and not isinstance(value, bool)
+    ):
         return float(value)
     if not isinstance(value, str) or kind not in (*KEY_TYPES, "id", "text"):
         raise GraphQLError("expected a string")
--- a/stepknot/fronts/graphql/shape.py
+++ b/stepknot/fronts/graphql/shape.py
@@ -4,7 +4,13 @@
 
 from typing import Any
 
-from graphql import ExecutionResult, GraphQLObjectType, GraphQLResolveInfo, GraphQLSchema, execute_sync
+from graphql import (
+    ExecutionResult,
+    GraphQLObjectType,
+    GraphQLResolveInfo,
+    GraphQLSchema,
+    execute_sync,
+)
 
 from stepknot.config.graphql import GraphSettings
 from stepknot.fronts.graphql.documents import Prepared
@@ -32,7 +38,9 @@
     sdl = {"sdl": subgraph_sdl(settings)}
     for root in (schema.query_type, schema.mutation_type):
         for name, field in (root.fields if root is not None else {}).items():
-            field.resolve = (lambda source, info, **arguments: sdl) if name == "_service" else by_place
+            field.resolve = (
+                (lambda source, info, **arguments: sdl) if name == "_service" else by_place
+            )
     for kind in settings.types:
         for under in ("Connection", "Bucket"):
             type_ = schema.type_map[kind + under]
@@ -45,6 +53,7 @@
     return schema
 
 
-def shape(schema: GraphQLSchema, prepared: Prepared, name: str | None, variables: Values,
-          values: Values) -> ExecutionResult:
+def shape(
+    schema: GraphQLSchema, prepared: Prepared, name: str | None, variables: Values, values: Values
+) -> ExecutionResult:
     return execute_sync(schema, prepared.document, values, None, variables, name, by_name)
--- a/stepknot/fronts/jsonbody.py
+++ b/stepknot/fronts/jsonbody.py
@@ -12,9 +12,13 @@
 def too_deep(value: Any, most: int) -> bool:
     level = [value]
     for _ in range(most):
-        level = [inner for each in level if isinstance(each, (dict, list))
-                 for inner in (each.values() if isinstance(each, dict) else each)
-                 if isinstance(inner, (dict, list))]
+        level = [
+            inner
+            for each in level
+            if isinstance(each, (dict, list))
+            for inner in (each.values() if isinstance(each, dict) else each)
+            if isinstance(inner, (dict, list))
+        ]
         if not level:
             return False
     return True
--- a/stepknot/fronts/search/replies.py
+++ b/stepknot/fronts/search/replies.py
@@ -24,8 +24,9 @@
     return {"error": {"root_cause": [cause], **cause, **more}, "status": status}
 
 
-def error_reply(status: int, type_: str, reason: str, headers: list[tuple[str, str]] | None = None,
-                **more: Any) -> Response:
+def error_reply(
+    status: int, type_: str, reason: str, headers: list[tuple[str, str]] | None = None, **more: Any
+) -> Response:
     return reply(status, error_body(status, type_, reason, **more), headers)
 
 
@@ -35,15 +36,25 @@
 
 def failures(parts: list[QueryPart], targets: list[Target]) -> list[Body]:
     return [
-        {"shard": target.shard, "index": target.index, "node": part.server or None,
-         "reason": {"type": "no_shard_available_action_exception", "reason": part.reason}}
-        for part, target in zip(parts, targets, strict=True) if not part.served
+        {
+            "shard": target.shard,
+            "index": target.index,
+            "node": part.server or None,
+            "reason": {"type": "no_shard_available_action_exception", "reason": part.reason},
+        }
+        for part, target in zip(parts, targets, strict=True)
+        if not part.served
     ]
 
 
 def shards_body(parts: list[QueryPart], targets: list[Target]) -> Body:
     served = sum(part.served for part in parts)
-    body: Body = {"total": len(parts), "successful": served, "skipped": 0, "failed": len(parts) - served}
+    body: Body = {
+        "total": len(parts),
+        "successful": served,
+        "skipped": 0,
+        "failed": len(parts) - served,
+    }
     if served < len(parts):
         body["failures"] = failures(parts, targets)
     return body
@@ -52,20 +63,35 @@
 def ending_body(result: Result, parts: list[QueryPart], targets: list[Target], what: str) -> Body:
     """Of a query that was refused or failed."""
     if result.status is Status.REFUSED:
-        return error_body(429, "rejected_execution_exception",
-                          f"{what} was refused; nothing of it has taken effect, trying again is harmless")
-    return error_body(503, "no_shard_available_action_exception",
-                      f"{what} was given up; it may or may not have taken effect",
-                      failed_shards=failures(parts, targets))
-
-
-def ending_reply(result: Result, parts: list[QueryPart], targets: list[Target], what: str) -> Response:
+        return error_body(
+            429,
+            "rejected_execution_exception",
+            f"{what} was refused; nothing of it has taken effect, trying again is harmless",
+        )
+    return error_body(
+        503,
+        "no_shard_available_action_exception",
+        f"{what} was given up; it may or may not have taken effect",
+        failed_shards=failures(parts, targets),
+    )
+
+
+def ending_reply(
+    result: Result, parts: list[QueryPart], targets: list[Target], what: str
+) -> Response:
     body = ending_body(result, parts, targets, what)
     return reply(body["status"], body, retry_headers(result.retry_after))
 
 
-def search_body(search: Search, merged: Merged, took: float, shards: Body, whole: bool,
-                documents: dict[tuple[Target, str], Body] | None, lost: int) -> Body:
+def search_body(
+    search: Search,
+    merged: Merged,
+    took: float,
+    shards: Body,
+    whole: bool,
+    documents: dict[tuple[Target, str], Body] | None,
+    lost: int,
+) -> Body:
     """`documents`: what the second step brought; None where the first step's hits carry all."""
     rows = []
     for target, row in merged.rows:
@@ -80,13 +106,30 @@
         rows.append(hit)
     hits: Body = {"max_score": merged.max_score, "hits": rows}
     if search.total is not False:
-        hits = {"total": {"value": merged.total, "relation": "eq" if merged.exact else "gte"}, **hits}
-    body: Body = {"took": int(took * 1000), "timed_out": not whole and shards["failed"] > 0, "_shards": shards,
-                  "hits": hits}
+        hits = {
+            "total": {"value": merged.total, "relation": "eq" if merged.exact else "gte"},
+            **hits,
+        }
+    body: Body = {
+        "took": int(took * 1000),
+        "timed_out": not whole and shards["failed"] > 0,
+        "_shards": shards,
+        "hits": hits,
+    }
     if lost:
-        body["_shards"] = {**shards, "failures": [*shards.get("failures", []), {
-            "shard": -1, "reason": {"type": "fetch_phase_execution_exception",
-                                    "reason": f"{lost} hits of the page could not be fetched"}}]}
+        body["_shards"] = {
+            **shards,
+            "failures": [
+                *shards.get("failures", []),
+                {
+                    "shard": -1,
+                    "reason": {
+                        "type": "fetch_phase_execution_exception",
+                        "reason": f"{lost} hits of the page could not be fetched",
+                    },
+                },
+            ],
+        }
         body["_shards"]["failed"] = max(shards["failed"], 1)
         body["_shards"]["successful"] = min(shards["successful"], shards["total"] - 1)
     if search.aggs:
--- a/stepknot/interface.py
+++ b/stepknot/interface.py
@@ -194,8 +194,16 @@
     instances: int
 
 
-Event = (ListReceived | QueryArrived | PartArrived | AttemptEnded | QueryGone | TimerDue | ProbeEnded
-         | InstancesCounted)
+Event = (
+    ListReceived
+    | QueryArrived
+    | PartArrived
+    | AttemptEnded
+    | QueryGone
+    | TimerDue
+    | ProbeEnded
+    | InstancesCounted
+)
 
 
 @dataclass(slots=True)
--- a/stepknot/lab/audit.py
+++ b/stepknot/lab/audit.py
@@ -19,7 +19,9 @@
 from stepknot.search.routing import shard_of
 
 TOLERANCE = 0.25  # seconds
-LIST_TIME = 0.2  # seconds from the list's change until a broker that looks every 100 ms has been told
+LIST_TIME = (
+    0.2  # seconds from the list's change until a broker that looks every 100 ms has been told
+)
 MOST_SHOWN = 20  # breaches kept for each rule
 Event = dict[str, Any]
 
@@ -46,8 +48,14 @@
         self.nearest = left if self.nearest is None else min(self.nearest, left)
 
     def body(self) -> dict[str, Any]:
-        return {"rule": self.rule, "checks": self.checks, "broken": self.broken, "nearest": self.nearest,
-                "unit": self.unit, "breaches": self.breaches}
+        return {
+            "rule": self.rule,
+            "checks": self.checks,
+            "broken": self.broken,
+            "nearest": self.nearest,
+            "unit": self.unit,
+            "breaches": self.breaches,
+        }
 
 
 @dataclass(slots=True)
@@ -66,8 +74,13 @@
         boxes = [event for path in sorted(folder.glob("box-*.tap")) for event in read(path)]
         fleet = read(folder / "fleet.tap")
         documents = next(each["documents"] for each in fleet if each["what"] == "begin")
-        return cls(load(folder / "broker-0.hcl"), read(folder / "client.tap"), fleet,
-                   sorted(boxes, key=lambda each: float(each["t"])), documents)
+        return cls(
+            load(folder / "broker-0.hcl"),
+            read(folder / "client.tap"),
+            fleet,
+            sorted(boxes, key=lambda each: float(each["t"])),
+            documents,
+        )
 
     def downs(self) -> dict[int, list[tuple[float, float]]]:
         """When each broker was dead or stopped from outside, by port."""
@@ -85,8 +98,14 @@
 
 def audit(records: Records) -> list[Report]:
     queries = by_query(records.client)
-    return [no_query_lost(records, queries), no_effect_twice(records, queries), drains_kept(records),
-            no_cold_box_pushed_over(records), answers_honest(records, queries), budget_kept(records, queries)]
+    return [
+        no_query_lost(records, queries),
+        no_effect_twice(records, queries),
+        drains_kept(records),
+        no_cold_box_pushed_over(records),
+        answers_honest(records, queries),
+        budget_kept(records, queries),
+    ]
 
 
 def by_query(events: Iterable[Event]) -> dict[str, list[Event]]:
@@ -123,14 +142,22 @@
         if "hung_up" in whats or "answer_unread" in whats:
             # A broker that stands still cannot notice: from when it goes on, it must.
             left = events[-1]["t"]
-            final[name] = max([left, *(end for begun, end in downs[asked["broker"]] if begun <= left <= end)])
+            final[name] = max(
+                [left, *(end for begun, end in downs[asked["broker"]] if begun <= left <= end)]
+            )
             continue
         if any(begun <= until and asked["t"] <= end for begun, end in downs[asked["broker"]]):
             continue
-        report.check(len(answers) == 1, f"{name}: {len(answers)} final answers ({asked['kind']}; {events[-1]})")
+        report.check(
+            len(answers) == 1,
+            f"{name}: {len(answers)} final answers ({asked['kind']}; {events[-1]})",
+        )
         if answers:
             final[name] = answers[0]["t"]
-            report.check(answers[0]["t"] <= until, f"{name}: answered {answers[0]['t'] - until:.3f} s too late")
+            report.check(
+                answers[0]["t"] <= until,
+                f"{name}: answered {answers[0]['t'] - until:.3f} s too late",
+            )
             report.near(until - answers[0]["t"])
         report.check("extra_bytes" not in whats, f"{name}: bytes after its final answer")
     for event in records.boxes:
@@ -138,13 +165,19 @@
             for name in part_names(event):
                 if name in final:
                     late = event["t"] - final[name]
-                    report.check(late <= TOLERANCE, f"{name}: a part reached {event['who']} {late:.3f} s after its end")
+                    report.check(
+                        late <= TOLERANCE,
+                        f"{name}: a part reached {event['who']} {late:.3f} s after its end",
+                    )
     return report
 
 
 def effect_of(records: Records, actions: list[str]) -> Effect:
     """The strictest of the classes that these actions belong to."""
-    kinds = {records.config.settings.classes[records.config.operations[action]].effect for action in actions}
+    kinds = {
+        records.config.settings.classes[records.config.operations[action]].effect
+        for action in actions
+    }
     return Effect.UNSAFE if Effect.UNSAFE in kinds else Effect.KEYED
 
 
@@ -154,11 +187,18 @@
     another only within the time for which repeats are dropped."""
     report = Report("2 no effect twice", unit="s left of the repeat window")
     settings = records.config.settings
-    window = max((kind.repeat_window for kind in settings.classes.values() if kind.effect is Effect.KEYED), default=0.0)
+    window = max(
+        (kind.repeat_window for kind in settings.classes.values() if kind.effect is Effect.KEYED),
+        default=0.0,
+    )
     arrivals: dict[str, list[Event]] = defaultdict(list)
     rejected: dict[str, list[float]] = defaultdict(list)
     ran: dict[str, int] = defaultdict(int)
-    refused = {name for name, events in queries.items() if any(each.get("status") == 429 for each in events)}
+    refused = {
+        name
+        for name, events in queries.items()
+        if any(each.get("status") == 429 for each in events)
+    }
     for event in records.boxes:
         if event["what"] == "write":
             arrivals[event["token"]].append(event)
@@ -171,9 +211,14 @@
         if effect_of(records, events[0]["actions"]) is Effect.UNSAFE:
             for place, event in enumerate(events[1:], 1):
                 known = sum(at <= event["t"] for at in rejected[token])
-                report.check(known >= place, f"{token}: sent again to {event['who']} though it may have run")
+                report.check(
+                    known >= place, f"{token}: sent again to {event['who']} though it may have run"
+                )
             report.check(ran[token] <= 1, f"{token}: ran {ran[token]} times")
-            report.check(not (ran[token] and name in refused), f"{token}: refused as harmless to repeat, but it ran")
+            report.check(
+                not (ran[token] and name in refused),
+                f"{token}: refused as harmless to repeat, but it ran",
+            )
         else:
             for event in events[1:]:
                 left = events[0]["t"] + window - event["t"]
@@ -189,7 +234,9 @@
     report = Report("3 drains kept", unit="s left of the grace")
     grace = records.config.settings.rules.drain_grace
     lists = [event for event in records.fleet if event["what"] == "list"]
-    off: dict[str, list[tuple[float, float]]] = defaultdict(list)  # when each box was not live, by the list
+    off: dict[str, list[tuple[float, float]]] = defaultdict(
+        list
+    )  # when each box was not live, by the list
     since: dict[str, float] = {}
     known: set[str] = set()
     for event in lists:
@@ -214,7 +261,9 @@
 
 def no_cold_box_pushed_over(records: Records) -> Report:
     """No box fell; how near each cold one came: work that arrived in the rule's time over what makes it fall."""
-    report = Report("4 no cold box pushed over", unit="share of the load left until a cold box falls")
+    report = Report(
+        "4 no cold box pushed over", unit="share of the load left until a cold box falls"
+    )
     rules = records.config.settings.rules
     cold: dict[str, Event] = {}
     recent: dict[str, list[float]] = defaultdict(list)
@@ -233,7 +282,9 @@
             if age >= rules.cold_time:
                 continue
             parts = len(event["parts"]) if event["what"] == "call" else 1
-            recent[who] = [at for at in recent[who] if at >= event["t"] - rules.fall_time] + [event["t"]] * parts
+            recent[who] = [at for at in recent[who] if at >= event["t"] - rules.fall_time] + [
+                event["t"]
+            ] * parts
             able = rules.cold_share + (1 - rules.cold_share) * age / rules.cold_time
             bound = rules.fall_multiple * able * cold[who]["cores"] * rules.fall_time
             report.near(1 - len(recent[who]) * cold[who]["work"] / bound)
@@ -260,23 +311,37 @@
         asked = events[0]
         for answer in (each for each in events if each["what"] == "answered"):
             if asked["kind"] == "get" and answer["status"] in (200, 404):
-                report.check(bool(answer.get("found")) and answer.get("id") == asked["id"],
-                             f"{name}: {asked['id']} exists, the answer says otherwise")
+                report.check(
+                    bool(answer.get("found")) and answer.get("id") == asked["id"],
+                    f"{name}: {asked['id']} exists, the answer says otherwise",
+                )
             if "entities_wrong" in answer:
-                report.check(not answer["entities_wrong"],
-                             f"{name}: {answer['entities_wrong']} entities that exist are told to be other or none")
+                report.check(
+                    not answer["entities_wrong"],
+                    f"{name}: {answer['entities_wrong']} entities that exist are told to be other or none",
+                )
             if asked["kind"] != "search" or "total" not in answer:
                 continue
             failed, said = set(answer["failed_shards"]) - {-1}, answer["shards"]
-            true = sum(count for shard, count in counts[asked["game"]].items() if shard not in failed)
+            true = sum(
+                count for shard, count in counts[asked["game"]].items() if shard not in failed
+            )
             share = (shards - len(failed)) / shards
-            report.check(answer["total"]["value"] == true,
-                         f"{name}: total {answer['total']['value']}, its shards hold {true}")
-            report.check(share >= floor, f"{name}: {share:.2f} of the parts, under the floor {floor}")
-            report.check(said["total"] == shards and said["successful"] <= shards - len(failed),
-                         f"{name}: says {said}, {len(failed)} shards failed")
+            report.check(
+                answer["total"]["value"] == true,
+                f"{name}: total {answer['total']['value']}, its shards hold {true}",
+            )
+            report.check(
+                share >= floor, f"{name}: {share:.2f} of the parts, under the floor {floor}"
+            )
+            report.check(
+                said["total"] == shards and said["successful"] <= shards - len(failed),
+                f"{name}: says {said}, {len(failed)} shards failed",
+            )
             whole = answer["total"]["relation"] == "eq" or not said["failed"]
-            report.check(not (whole and failed), f"{name}: marked whole with {len(failed)} shards missing")
+            report.check(
+                not (whole and failed), f"{name}: marked whole with {len(failed)} shards missing"
+            )
             report.near(share - floor)
     return report
 
@@ -315,9 +380,14 @@
         arrived = sorted(taken[port])
         for place, at in enumerate(times):
             begun = at - rules.extra_window
-            used = sum(begun < each <= at for each in times[:place + 1])
-            allowed = rules.extra_floor + rules.extra_share * sum(begun - TOLERANCE < each <= at for each in arrived)
-            report.check(used <= allowed, f"broker {port}: {used} further attempts where {allowed:.1f} are allowed")
+            used = sum(begun < each <= at for each in times[: place + 1])
+            allowed = rules.extra_floor + rules.extra_share * sum(
+                begun - TOLERANCE < each <= at for each in arrived
+            )
+            report.check(
+                used <= allowed,
+                f"broker {port}: {used} further attempts where {allowed:.1f} are allowed",
+            )
             report.near(allowed - used)
     report.checks += len(seen)
     return report
--- a/stepknot/lab/box.py
+++ b/stepknot/lab/box.py
@@ -41,7 +41,20 @@
 MOST_LOG = 200_000
 COPY_TIME = 0.3  # seconds for the other boxes of the cell to take a write
 CACHE_WORK, CACHE_TIME = 0.7, 5.0  # share of the work for a key met so many seconds ago at most
-FAULTS = ("crash", "hang", "fail_fast", "slow", "pause", "reset", "cut", "garbage", "refuse", "lost", "huge", "deaf")
+FAULTS = (
+    "crash",
+    "hang",
+    "fail_fast",
+    "slow",
+    "pause",
+    "reset",
+    "cut",
+    "garbage",
+    "refuse",
+    "lost",
+    "huge",
+    "deaf",
+)
 Steps = Generator[Park, Any, Any]
 
 
@@ -135,9 +148,15 @@
         self.cores = Cores(loop, plan.cores, plan.queue, self.able)
         self.faults: dict[str, Fault] = {}
         self.caches: OrderedDict[str, float] = OrderedDict()
-        self.recent: deque[tuple[float, float]] = deque()  # work that came, in seconds at full speed, for falling over
+        self.recent: deque[tuple[float, float]] = (
+            deque()
+        )  # work that came, in seconds at full speed, for falling over
         self.tokens: OrderedDict[str, tuple[float, list[Any]]] = OrderedDict()
-        windows = [kind.repeat_window for kind in config.settings.classes.values() if kind.effect is Effect.KEYED]
+        windows = [
+            kind.repeat_window
+            for kind in config.settings.classes.values()
+            if kind.effect is Effect.KEYED
+        ]
         self.window = max(windows, default=0.0)
         self.stamps: dict[tuple[str, int, str], int] = {}
         self.log: deque[dict[str, Any]] = deque(maxlen=MOST_LOG)
@@ -147,15 +166,23 @@
         limits = HttpLimits(idle=600.0, first_byte=600.0, body=256 * 1024**2)
         self.limits = limits
         self.server: Server | None = None
-        self.control = Server(loop, plan.host, plan.control, self.on_control, limits, self.http_error)
+        self.control = Server(
+            loop, plan.host, plan.control, self.on_control, limits, self.http_error
+        )
 
     def build(self) -> dict[tuple[str, int], Shard]:
-        shards = {key: shard for index in self.config.indices.values() for key, shard in self.empty(index).items()}
+        shards = {
+            key: shard
+            for index in self.config.indices.values()
+            for key, shard in self.empty(index).items()
+        }
         reports = self.config.indices.get(corpus.INDEX)
         if reports is not None:
             for number in range(self.plan.documents):
                 name = corpus.name_of(number)
-                shard = shards.get((reports.name, shard_of(name, reports.shards, reports.routing_shards)))
+                shard = shards.get(
+                    (reports.name, shard_of(name, reports.shards, reports.routing_shards))
+                )
                 if shard is not None:
                     shard.put(name, corpus.document(number))
         return shards
@@ -163,9 +190,12 @@
     def empty(self, index: Index) -> dict[tuple[str, int], Shard]:
         """Those of the index's shards that this box's cell holds."""
         settings = self.config.settings
-        return {(index.name, number): Shard(index.name, index.fields) for number in range(index.shards)
-                if self.plan.cell in {(index.first + number + step) % settings.cells
-                                      for step in range(settings.reach)}}
+        return {
+            (index.name, number): Shard(index.name, index.fields)
+            for number in range(index.shards)
+            if self.plan.cell
+            in {(index.first + number + step) % settings.cells for step in range(settings.reach)}
+        }
 
     # --- life
 
@@ -176,7 +206,9 @@
         self.tap.note("up", cold=self.plan.cold, work=self.plan.work, cores=self.plan.cores)
 
     def listen(self) -> None:
-        self.server = Server(self.loop, self.plan.host, self.plan.port, self.handle, self.limits, self.http_error)
+        self.server = Server(
+            self.loop, self.plan.host, self.plan.port, self.handle, self.limits, self.http_error
+        )
 
     def able(self) -> float:
         share = 1.0
@@ -214,9 +246,12 @@
 
     def load_header(self) -> tuple[str, str]:
         held = len(self.cores.waiting) + self.cores.busy
-        return (LOAD_HEADER, f"TEXT cpu_utilization={self.cores.busy / self.cores.count:.2f},"
-                f"{NAMED}queue={len(self.cores.waiting)},{NAMED}inflight={held},"
-                f"{NAMED}latency_ms={self.cores.latency * 1000:.2f}")
+        return (
+            LOAD_HEADER,
+            f"TEXT cpu_utilization={self.cores.busy / self.cores.count:.2f},"
+            f"{NAMED}queue={len(self.cores.waiting)},{NAMED}inflight={held},"
+            f"{NAMED}latency_ms={self.cores.latency * 1000:.2f}",
+        )
 
     # --- the wire
 
@@ -224,8 +259,11 @@
         return self.error(error.status, error.reason)
 
     def error(self, status: int, reason: str) -> Response:
-        return Response(status, orjson.dumps({"error": {"type": "box", "reason": reason}, "status": status}),
-                        [self.load_header()])
+        return Response(
+            status,
+            orjson.dumps({"error": {"type": "box", "reason": reason}, "status": status}),
+            [self.load_header()],
+        )
 
     def handle(self, request: Request, connection: Connection) -> Steps:
         agent = request.headers.get("user-agent", "")
@@ -259,14 +297,25 @@
             return
         call, lines = request.headers.get("x-opaque-id", ""), request.body.split(b"\n")
         if request.path == "/_msearch":
-            pairs = [(orjson.loads(head), orjson.loads(body)) for head, body in zip(lines[:-1:2], lines[1::2],
-                                                                                   strict=True)]
-            parts = [[head["index"], shard_number(head), body.get("stats", [""])[0],
-                      "fetch" if "ids" in body["query"] else "query"] for head, body in pairs]
+            pairs = [
+                (orjson.loads(head), orjson.loads(body))
+                for head, body in zip(lines[:-1:2], lines[1::2], strict=True)
+            ]
+            parts = [
+                [
+                    head["index"],
+                    shard_number(head),
+                    body.get("stats", [""])[0],
+                    "fetch" if "ids" in body["query"] else "query",
+                ]
+                for head, body in pairs
+            ]
             self.tap.note("call", call=call, agent=agent, parts=parts)
         elif request.path == "/_bulk":
             heads = [orjson.loads(line) for line in lines if line]
-            actions = [next(iter(line)) for line in heads if len(line) == 1 and next(iter(line)) in WRITES]
+            actions = [
+                next(iter(line)) for line in heads if len(line) == 1 and next(iter(line)) in WRITES
+            ]
             self.tap.note("write", token=call, agent=agent, actions=actions)
 
     def spoil(self, response: Response, connection: Connection, agent: str) -> Steps:
@@ -283,7 +332,7 @@
             return None
         if self.fault("cut", agent):
             head = f"HTTP/1.1 200 OK\r\ncontent-length: {len(response.body)}\r\n\r\n".encode()
-            connection.link.send_now(head + response.body[:len(response.body) // 2])
+            connection.link.send_now(head + response.body[: len(response.body) // 2])
             connection.link.close(abort=True)
             return None
         huge = self.fault("huge", agent)
@@ -314,11 +363,16 @@
                 done.set()
 
         for place, (head, body) in enumerate(pairs):
-            job = Job(self.cost(head.get("routing", "")), partial(finish, place, head, body),
-                      lambda: not connection.link.peer_closed and not connection.link.closed)
+            job = Job(
+                self.cost(head.get("routing", "")),
+                partial(finish, place, head, body),
+                lambda: not connection.link.peer_closed and not connection.link.closed,
+            )
             if not self.cores.submit(job):
-                responses[place] = {"error": {"type": "rejected_execution_exception", "reason": "queue is full"},
-                                    "status": 429}
+                responses[place] = {
+                    "error": {"type": "rejected_execution_exception", "reason": "queue is full"},
+                    "status": 429,
+                }
                 left -= 1
         connection.gone = lambda: done.set(None)
         if left:
@@ -343,15 +397,25 @@
         number = shard_number(head)
         shard = self.shards.get((head["index"], number))
         if shard is None:
-            return {"error": {"type": "index_not_found_exception", "reason": f"no shard {number} here"}, "status": 404}
+            return {
+                "error": {"type": "index_not_found_exception", "reason": f"no shard {number} here"},
+                "status": 404,
+            }
         body.pop("stats", None)
-        extra: dict[str, Any] = {key: body.pop(key) for key in ("version", "seq_no_primary_term") if key in body}
+        extra: dict[str, Any] = {
+            key: body.pop(key) for key in ("version", "seq_no_primary_term") if key in body
+        }
         try:
             found = shard.search(parse_search(body, {}, 1_000_000), extra)
         except RequestError as error:
             return {"error": {"type": error.type, "reason": error.reason}, "status": error.status}
-        return {"took": 0, "timed_out": False, "status": 200,
-                "_shards": {"total": 1, "successful": 1, "skipped": 0, "failed": 0}, **found}
+        return {
+            "took": 0,
+            "timed_out": False,
+            "status": 200,
+            "_shards": {"total": 1, "successful": 1, "skipped": 0, "failed": 0},
+            **found,
+        }
 
     # --- writes
 
@@ -397,44 +461,76 @@
                 entries.append(entry)
         return items, entries
 
-    def write(self, action: str, meta: dict[str, Any], body: Any) -> tuple[dict[str, Any], dict[str, Any] | None]:
+    def write(
+        self, action: str, meta: dict[str, Any], body: Any
+    ) -> tuple[dict[str, Any], dict[str, Any] | None]:
         index, name = self.indices[meta["_index"]], meta["_id"]
         number = shard_of(meta.get("routing") or name, index.shards, index.routing_shards)
         shard = self.shards.get((index.name, number))
         item: dict[str, Any] = {"_index": index.name, "_id": name}
         if shard is None:
-            return item | {"status": 503, "error": {"type": "unavailable_shards_exception", "reason": "not here"}}, None
+            return item | {
+                "status": 503,
+                "error": {"type": "unavailable_shards_exception", "reason": "not here"},
+            }, None
         old = shard.get(name)
         if action == "create" and old is not None:
-            return item | {"status": 409, "error": {
-                "type": "version_conflict_engine_exception",
-                "reason": f"[{name}]: version conflict, document already exists"}}, None
+            return item | {
+                "status": 409,
+                "error": {
+                    "type": "version_conflict_engine_exception",
+                    "reason": f"[{name}]: version conflict, document already exists",
+                },
+            }, None
         if action == "update":
             if old is None and "upsert" not in body and not body.get("doc_as_upsert"):
-                return item | {"status": 404, "error": {"type": "document_missing_exception",
-                                                        "reason": f"[{name}]: document missing"}}, None
+                return item | {
+                    "status": 404,
+                    "error": {
+                        "type": "document_missing_exception",
+                        "reason": f"[{name}]: document missing",
+                    },
+                }, None
             body = {**old, **body["doc"]} if old is not None else body.get("upsert", body["doc"])
         if action == "delete":
             gone = shard.delete(name)
-            version, sequence, result = *(gone or (1, shard.sequence)), "deleted" if gone else "not_found"
+            version, sequence, result = (
+                *(gone or (1, shard.sequence)),
+                "deleted" if gone else "not_found",
+            )
         else:
             version, sequence = shard.put(name, body)
             result = "updated" if old is not None else "created"
         stamp = time.time_ns()
         self.stamps[index.name, number, name] = stamp
-        entry = {"index": index.name, "shard": number, "id": name, "stamp": stamp,
-                 "source": None if action == "delete" else body}
+        entry = {
+            "index": index.name,
+            "shard": number,
+            "id": name,
+            "stamp": stamp,
+            "source": None if action == "delete" else body,
+        }
         self.log.append(entry)
         status = {"created": 201, "not_found": 404}.get(result, 200)
-        return item | {"_version": version, "result": result, "_seq_no": sequence, "_primary_term": 1,
-                       "_shards": {"total": 1, "successful": 1, "failed": 0}, "status": status}, entry
+        return item | {
+            "_version": version,
+            "result": result,
+            "_seq_no": sequence,
+            "_primary_term": 1,
+            "_shards": {"total": 1, "successful": 1, "failed": 0},
+            "status": status,
+        }, entry
 
     def others(self) -> list[str]:
         try:
             entries = read_entries(self.config.list_file, 0.0)
         except (ConfigError, OSError):
             return []
-        return [name for name, entry in entries.items() if name != self.address and entry.cell == self.plan.cell]
+        return [
+            name
+            for name, entry in entries.items()
+            if name != self.address and entry.cell == self.plan.cell
+        ]
 
     def copy(self, entries: list[dict[str, Any]], token: str, items: list[Any]) -> Steps:
         """To the other boxes of the cell; each has a short time to take it, a restarted one asks for all it lacks."""
@@ -451,7 +547,10 @@
 
         body = orjson.dumps({"entries": entries, "token": token, "items": items})
         for name in others:
-            data = f"POST /_copy HTTP/1.1\r\nhost: {name}\r\ncontent-length: {len(body)}\r\n\r\n".encode() + body
+            data = (
+                f"POST /_copy HTTP/1.1\r\nhost: {name}\r\ncontent-length: {len(body)}\r\n\r\n".encode()
+                + body
+            )
             self.pool.start(name, Exchange(data, end))
         self.loop.call_later(COPY_TIME, done.set)
         yield from done.wait()
@@ -506,12 +605,29 @@
         if index is None:
             return self.error(404, f"no such index [{name}]")
         if request.method == "GET":
-            return Response(200, orjson.dumps({name: {
-                "settings": {"index": {"number_of_shards": str(index.shards)}},
-                "mappings": {"properties": {field: {"type": kind} for field, kind in index.fields.items()}}}}))
+            return Response(
+                200,
+                orjson.dumps(
+                    {
+                        name: {
+                            "settings": {"index": {"number_of_shards": str(index.shards)}},
+                            "mappings": {
+                                "properties": {
+                                    field: {"type": kind} for field, kind in index.fields.items()
+                                }
+                            },
+                        }
+                    }
+                ),
+            )
         if request.method == "PUT" and rest == ["_mapping"]:
-            entry = {"mapped": name, "fields": {field: each["type"] for field, each in
-                                                orjson.loads(request.body).get("properties", {}).items()}}
+            entry = {
+                "mapped": name,
+                "fields": {
+                    field: each["type"]
+                    for field, each in orjson.loads(request.body).get("properties", {}).items()
+                },
+            }
         elif request.method == "DELETE" and not rest:
             entry = {"deleted": name}
         else:
@@ -533,17 +649,29 @@
                     shard.fields.update(entry["fields"])
         else:
             self.indices.pop(entry["deleted"], None)
-            self.shards = {key: shard for key, shard in self.shards.items() if key[0] != entry["deleted"]}
+            self.shards = {
+                key: shard for key, shard in self.shards.items() if key[0] != entry["deleted"]
+            }
 
     # --- control
 
     def on_control(self, request: Request, connection: Connection) -> Steps:
         yield from ()
         if request.method == "GET":
-            return Response(200, orjson.dumps({
-                "address": self.address, "up": self.server is not None, "done": self.cores.done,
-                "waiting": len(self.cores.waiting), "documents": sum(map(len, self.shards.values())),
-                "able": self.able(), "faults": list(self.faults)}))
+            return Response(
+                200,
+                orjson.dumps(
+                    {
+                        "address": self.address,
+                        "up": self.server is not None,
+                        "done": self.cores.done,
+                        "waiting": len(self.cores.waiting),
+                        "documents": sum(map(len, self.shards.values())),
+                        "able": self.able(),
+                        "faults": list(self.faults),
+                    }
+                ),
+            )
         given = orjson.loads(request.body)
         kind, seconds = given.pop("kind"), float(given.pop("seconds", 1e9))
         if kind not in (*FAULTS, "clear"):
--- a/stepknot/lab/cold.py
+++ b/stepknot/lab/cold.py
@@ -41,7 +41,9 @@
 WORK = {"light": 0.05, "heavy": 0.15}  # seconds of a core for a part of the class
 MEAN = sum(WORK.values()) / len(WORK)
 HEARD = 30  # responses of each class from the warm server
-Rate = Callable[[int, float], float]  # queries a second of an instance, at a time since the beginning
+Rate = Callable[
+    [int, float], float
+]  # queries a second of an instance, at a time since the beginning
 DEMANDS: dict[str, Rate] = {
     "steady": lambda instance, passed: 2.0,
     "idle, then a burst": lambda instance, passed: 40.0 if passed >= 2.0 else 0.0,
@@ -61,20 +63,34 @@
 
 def settings(instances: int) -> Settings:
     classes = {name: QueryClass(name, aim=1.0, deadline=3.0, worth=1.0) for name in WORK}
-    return Settings(instances, cells=2, reach=1, parts_per_call=1, classes=classes, rules=RULES,
-                    limits=Limits(max_attempts=1, cancelling=True))
+    return Settings(
+        instances,
+        cells=2,
+        reach=1,
+        parts_per_call=1,
+        classes=classes,
+        rules=RULES,
+        limits=Limits(max_attempts=1, cancelling=True),
+    )
 
 
 class World:
-    def __init__(self, instances: int, age: float, seed: int, shares: Sequence[ColdShare] = ()) -> None:
+    def __init__(
+        self, instances: int, age: float, seed: int, shares: Sequence[ColdShare] = ()
+    ) -> None:
         self.chance, self.settings = random.Random(seed), settings(instances)
         self.up, self.begin = BEGAN, BEGAN + age
         self.last_id, self.free, self.asked = 0, 0.0, 0
         self.sent: list[tuple[float, float]] = []  # when, and the work
-        self.due: list[tuple[float, int, int, float]] = []  # parts out: until when, of whom, which, since when
+        self.due: list[
+            tuple[float, int, int, float]
+        ] = []  # parts out: until when, of whom, which, since when
         views = [shares[number % len(shares)] if shares else None for number in range(instances)]
-        self.members = [(number, view.divisor if view else 0.0) for number, view in enumerate(views)
-                        if view is None or view.may_send(draw(f"broker-{number} of {seed}", "cold"))]
+        self.members = [
+            (number, view.divisor if view else 0.0)
+            for number, view in enumerate(views)
+            if view is None or view.may_send(draw(f"broker-{number} of {seed}", "cold"))
+        ]
         self.instances = [self.start(self.begin - 20.0, sharers) for _, sharers in self.members]
 
     def start(self, now: float, sharers: float) -> Aggregator:
@@ -93,17 +109,24 @@
     def ask(self, instance: Aggregator, now: float, name: str, shard: int) -> int:
         """The part that was sent, 0 where the query was refused."""
         self.last_id += 2
-        events: list[Event] = [QueryArrived(self.last_id, self.last_id, name, now + 3.0),
-                               PartArrived(self.last_id + 1, self.last_id, shard, 1.0)]
+        events: list[Event] = [
+            QueryArrived(self.last_id, self.last_id, name, now + 3.0),
+            PartArrived(self.last_id + 1, self.last_id, shard, 1.0),
+        ]
         sends = [each for each in instance.handle(now, events) if isinstance(each, Send)]
         return sends[0].part_id if sends else 0
 
     def able(self, now: float) -> float:
-        return min(RULES.cold_share + (1 - RULES.cold_share) * max(now - self.up, 0.0) / RULES.cold_time, 1.0)
+        return min(
+            RULES.cold_share + (1 - RULES.cold_share) * max(now - self.up, 0.0) / RULES.cold_time,
+            1.0,
+        )
 
     def turn(self, now: float, rate: Rate, restarts: bool) -> None:
         for _, place, part, since in [each for each in self.due if each[0] <= now]:
-            self.instances[place].handle(now, [AttemptEnded(part, 0, "cold", Outcome.SERVED, now - since)])
+            self.instances[place].handle(
+                now, [AttemptEnded(part, 0, "cold", Outcome.SERVED, now - since)]
+            )
         self.due = [each for each in self.due if each[0] > now]
         for place, (number, sharers) in enumerate(self.members):
             if restarts and self.chance.random() < STEP / RESTART_EVERY:
@@ -124,15 +147,23 @@
             high = low + RULES.fall_time
             if high > self.up + RULES.cold_time:
                 break  # it is warm
-            got = sum(work for at, work in self.sent if low - STEP / 2 <= at < high - STEP / 2) / MEAN
+            got = (
+                sum(work for at, work in self.sent if low - STEP / 2 <= at < high - STEP / 2) / MEAN
+            )
             budget = RULES.fall_multiple * self.able(high) * RULES.fall_time / MEAN
             worst = max(worst, (got - budget) / (2 * math.sqrt(budget) + 2))
             used.append(got / budget)
         return Found(worst, sum(used) / len(used), len(self.sent) / max(self.asked, 1))
 
 
-def play(instances: int, demand: str, age: float, seed: int, seconds: float = 6.0,
-         shares: Sequence[ColdShare] = ()) -> Found:
+def play(
+    instances: int,
+    demand: str,
+    age: float,
+    seed: int,
+    seconds: float = 6.0,
+    shares: Sequence[ColdShare] = (),
+) -> Found:
     """`age`: the cold server's, when the play begins."""
     world = World(instances, age, seed, shares)
     for step in range(int(seconds / STEP)):
--- a/stepknot/lab/cold_tails.py
+++ b/stepknot/lab/cold_tails.py
@@ -27,8 +27,14 @@
     """Of a binomial count, 0 to `trials`."""
     if chance >= 1.0:
         return [0.0] * trials + [1.0]
-    logs = [math.lgamma(trials + 1) - math.lgamma(count + 1) - math.lgamma(trials - count + 1)
-            + count * math.log(chance) + (trials - count) * math.log1p(-chance) for count in range(trials + 1)]
+    logs = [
+        math.lgamma(trials + 1)
+        - math.lgamma(count + 1)
+        - math.lgamma(trials - count + 1)
+        + count * math.log(chance)
+        + (trials - count) * math.log1p(-chance)
+        for count in range(trials + 1)
+    ]
     return [math.exp(each) for each in logs]
 
 
@@ -45,18 +51,27 @@
     first, *rest = views
     masses = pmf(first.brokers, first.share.share)
     if not rest:
-        return tails(masses)[min(math.floor(budget * first.share.divisor + 1e-9) + 1, first.brokers + 1)]
-    other, = rest
+        return tails(masses)[
+            min(math.floor(budget * first.share.divisor + 1e-9) + 1, first.brokers + 1)
+        ]
+    (other,) = rest
     others = tails(pmf(other.brokers, other.share.share))
     found = 0.0
     for count, mass in enumerate(masses):
         left = budget - count / first.share.divisor
-        least = 0 if left < -1e-12 else min(math.floor(left * other.share.divisor + 1e-9) + 1, other.brokers + 1)
+        least = (
+            0
+            if left < -1e-12
+            else min(math.floor(left * other.share.divisor + 1e-9) + 1, other.brokers + 1)
+        )
         found += mass * others[least]
     return found
 
 
 def mean_and_deviation(views: Sequence[View]) -> tuple[float, float]:
     mean = sum(view.brokers * view.share.share / view.share.divisor for view in views)
-    variance = sum(view.brokers * view.share.share * (1 - view.share.share) / view.share.divisor**2 for view in views)
+    variance = sum(
+        view.brokers * view.share.share * (1 - view.share.share) / view.share.divisor**2
+        for view in views
+    )
     return mean, math.sqrt(variance)
--- a/stepknot/lab/day.py
+++ b/stepknot/lab/day.py
@@ -44,7 +44,9 @@
 
 
 class Day:
-    def __init__(self, fleet: Fleet, script: Script, seed: int, words: Callable[[str], None]) -> None:
+    def __init__(
+        self, fleet: Fleet, script: Script, seed: int, words: Callable[[str], None]
+    ) -> None:
         self.fleet, self.script, self.words = fleet, script, words
         self.loop = Loop(rng=random.Random(seed))
         self.rng = random.Random(seed + 1)
@@ -56,14 +58,19 @@
         self.counts: Counter[str] = Counter()
         self.list_frozen = False
         fleet.on_list = lambda rows, before: self.events.note(
-            "list", before=before, boxes=[[row["address"], row["state"]] for row in rows])
+            "list", before=before, boxes=[[row["address"], row["state"]] for row in rows]
+        )
 
     # --- life
 
     def run(self) -> None:
         self.begun = self.loop.clock()
         self.fleet.write_list()
-        self.events.note("begin", documents=self.fleet.documents, brokers=[each.port for each in self.fleet.brokers])
+        self.events.note(
+            "begin",
+            documents=self.fleet.documents,
+            brokers=[each.port for each in self.fleet.brokers],
+        )
         self.loop.spawn(self.traffic(), "traffic")
         self.until = self.begun + self.script.seconds
         self.loop.spawn(self.happen(), "steps")
@@ -106,8 +113,11 @@
         for step in self.script.steps:
             while (left := self.begun + late + step.at - self.loop.clock()) > 0:
                 yield from self.loop.sleep(left)
-            while step.zone and not all(box.listed and box.running and not box.draining for box in self.fleet.boxes
-                                        if box.zone == step.zone):
+            while step.zone and not all(
+                box.listed and box.running and not box.draining
+                for box in self.fleet.boxes
+                if box.zone == step.zone
+            ):
                 yield from self.loop.sleep(0.1)
             behind = self.loop.clock() - (self.begun + step.at)
             self.until += max(0.0, behind - late)
@@ -122,12 +132,17 @@
 
     def pick_boxes(self, step: Step) -> list[Box]:
         """Of those that are listed and sound, by chance; a crash leaves each cell one."""
-        free = [box for box in self.fleet.boxes if box.listed and box.running and not box.draining
-                and step.zone in ("", box.zone)]
+        free = [
+            box
+            for box in self.fleet.boxes
+            if box.listed and box.running and not box.draining and step.zone in ("", box.zone)
+        ]
         self.rng.shuffle(free)
         if step.do not in ("crash", "drain"):
-            return free[:step.boxes]
-        left = Counter(box.cell for box in self.fleet.boxes if box.listed and box.running and not box.draining)
+            return free[: step.boxes]
+        left = Counter(
+            box.cell for box in self.fleet.boxes if box.listed and box.running and not box.draining
+        )
         picked: list[Box] = []
         for box in free:
             if len(picked) < step.boxes and left[box.cell] > 1:
@@ -138,13 +153,17 @@
     def command(self, box: Box, **fault: Any) -> None:
         body = orjson.dumps(fault)
         head = f"POST /fault HTTP/1.1\r\nhost: box\r\ncontent-length: {len(body)}\r\n\r\n".encode()
-        self.pool.start(f"127.0.0.1:{box.control}", Exchange(head + body, lambda parser, outcome, reason: None))
+        self.pool.start(
+            f"127.0.0.1:{box.control}", Exchange(head + body, lambda parser, outcome, reason: None)
+        )
 
     def strike(self, step: Step) -> None:
         boxes = self.pick_boxes(step)
         more = {"agent": f"/{self.fleet.brokers[step.broker].port}"} if step.broker >= 0 else {}
         for box in boxes:
-            self.command(box, kind=step.do, seconds=step.lasts, share=step.share, factor=step.factor, **more)
+            self.command(
+                box, kind=step.do, seconds=step.lasts, share=step.share, factor=step.factor, **more
+            )
         self.say(step, [box.number for box in boxes])
 
     def do_crash(self, step: Step) -> None:
@@ -176,7 +195,9 @@
         broker.process.kill()
         broker.process.wait()
         broker.process = None
-        self.loop.call_later(step.lasts, lambda: void(self.loop.spawn(self.revive(broker), "revive")))
+        self.loop.call_later(
+            step.lasts, lambda: void(self.loop.spawn(self.revive(broker), "revive"))
+        )
         self.say(step, [broker.port])
 
     def revive(self, broker: Broker) -> Coroutine:
@@ -203,9 +224,9 @@
     def do_part_peers(self, step: Step) -> None:
         names, links = [each.name for each in self.fleet.brokers], self.fleet.links
         assert links is not None, "the brokers of this day do not know each other"
-        links.part(names[:step.boxes], names[step.boxes:])
+        links.part(names[: step.boxes], names[step.boxes :])
         self.loop.call_later(step.lasts, links.heal)
-        self.say(step, names[:step.boxes])
+        self.say(step, names[: step.boxes])
 
     def do_lose_peers(self, step: Step) -> None:
         links = self.fleet.links
@@ -309,10 +330,14 @@
         broker = self.rng.choice(self.fleet.brokers)
         self.asked += 1
         name, front = f"d{self.asked}", self.rng.choice(FRONTS)
-        data, fields = clients.ask(front, kind, number, name, seconds, self.fleet.documents, self.hot)
+        data, fields = clients.ask(
+            front, kind, number, name, seconds, self.fleet.documents, self.hot
+        )
         self.counts[f"by {front}"] += 1
         try:
-            link = yield from self.loop.connect("127.0.0.1", broker.graph if front == "graphql" else broker.port, 1.0)
+            link = yield from self.loop.connect(
+                "127.0.0.1", broker.graph if front == "graphql" else broker.port, 1.0
+            )
         except (OSError, Expired):
             self.counts["not_connected"] += 1
             return 0.3
@@ -374,19 +399,42 @@
     """For a callback whose result nobody wants."""
 
 
-def run_day(folder: Path, script: Script, brokers: int, boxes: int, documents: int, seed: int,
-            words: Callable[[str], None], log_level: str = "info", cold_time: float = 4.0, work_ms: float = 4.0,
-            program: tuple[str, ...] = ("-m", "stepknot"), names: str = "ab", peers: dict[str, Any] | None = None,
-            subset: dict[str, Any] | None = None, **settings: Any) -> Counter[str]:
+def run_day(
+    folder: Path,
+    script: Script,
+    brokers: int,
+    boxes: int,
+    documents: int,
+    seed: int,
+    words: Callable[[str], None],
+    log_level: str = "info",
+    cold_time: float = 4.0,
+    work_ms: float = 4.0,
+    program: tuple[str, ...] = ("-m", "stepknot"),
+    names: str = "ab",
+    peers: dict[str, Any] | None = None,
+    subset: dict[str, Any] | None = None,
+    **settings: Any,
+) -> Counter[str]:
     """Start a fleet, let the day happen, stop the fleet. The records stay in `folder`. `names`: a letter a zone.
     `peers`: keys of that block, by which the brokers know each other, over links that can fail; `subset`: of that one,
     which takes each broker's name from the former."""
     folder.mkdir(parents=True, exist_ok=True)
     for old in folder.glob("*.tap"):
         old.unlink()
-    fleet = Fleet.plan(folder, brokers, boxes, documents, taps=True, log_level=log_level, work_ms=work_ms,
-                       program=program, zones=names, with_peers=peers is not None,
-                       settings={"cold_time": cold_time, "deadline": DEADLINE, "admission": ADMISSION, **settings})
+    fleet = Fleet.plan(
+        folder,
+        brokers,
+        boxes,
+        documents,
+        taps=True,
+        log_level=log_level,
+        work_ms=work_ms,
+        program=program,
+        zones=names,
+        with_peers=peers is not None,
+        settings={"cold_time": cold_time, "deadline": DEADLINE, "admission": ADMISSION, **settings},
+    )
     if peers is not None:
         fleet.relay(seed)
         for broker in fleet.brokers:
--- a/stepknot/lab/engine.py
+++ b/stepknot/lab/engine.py
@@ -21,7 +21,9 @@
 TOKEN = re.compile(r"\w+")
 K1, B = 1.2, 0.75
 Row = dict[str, Any]
-ISO = re.compile(r"(\d{4})-(\d{2})(?:-(\d{2}))?(?:T(\d{2}):(\d{2})(?::(\d{2})(?:\.(\d{1,3}))?)?Z?)?$")
+ISO = re.compile(
+    r"(\d{4})-(\d{2})(?:-(\d{2}))?(?:T(\d{2}):(\d{2})(?::(\d{2})(?:\.(\d{1,3}))?)?Z?)?$"
+)
 
 
 def tokens(text: Any) -> list[str]:
@@ -34,8 +36,15 @@
         from datetime import UTC, datetime
 
         year, month, day, hour, minute, second, fraction = found.groups()
-        at = datetime(int(year), int(month), int(day or 1), int(hour or 0), int(minute or 0), int(second or 0),
-                      tzinfo=UTC)
+        at = datetime(
+            int(year),
+            int(month),
+            int(day or 1),
+            int(hour or 0),
+            int(minute or 0),
+            int(second or 0),
+            tzinfo=UTC,
+        )
         return int(at.timestamp() * 1000) + int((fraction or "0").ljust(3, "0"))
     return value
 
@@ -116,7 +125,9 @@
             return value in (True, "true")
         if kind == "keyword":
             return str(value)
-        if kind in ("integer", "long", "short", "byte", "double", "float") and isinstance(value, str):
+        if kind in ("integer", "long", "short", "byte", "double", "float") and isinstance(
+            value, str
+        ):
             try:
                 return float(value)
             except ValueError:
@@ -142,7 +153,13 @@
                 return self.multi(node)
             case dsl.Terms():
                 if self.fields.get(node.field) == "text":
-                    return merged(max, (self.word(node.field, str(each).lower(), node.boost) for each in node.values))
+                    return merged(
+                        max,
+                        (
+                            self.word(node.field, str(each).lower(), node.boost)
+                            for each in node.values
+                        ),
+                    )
                 numbers: set[int] = set()
                 for each in node.values:
                     numbers |= self.exact[node.field].get(self.normal(node.field, each), set())
@@ -166,8 +183,14 @@
         total = max(len(lengths), 1)
         mean = sum(lengths.values()) / total if total < 1000 else self.mean_length(field)
         idf = math.log(1 + (total - len(postings) + 0.5) / (len(postings) + 0.5))
-        return {number: boost * idf * count * (K1 + 1) / (count + K1 * (1 - B + B * lengths[number] / mean))
-                for number, count in postings.items()}
+        return {
+            number: boost
+            * idf
+            * count
+            * (K1 + 1)
+            / (count + K1 * (1 - B + B * lengths[number] / mean))
+            for number, count in postings.items()
+        }
 
     def mean_length(self, field: str) -> float:
         lengths = self.lengths[field]
@@ -189,7 +212,10 @@
         return merged((lambda one, two: one + two) if node.most else max, runs)
 
     def range(self, node: dsl.Range) -> dict[int, float]:
-        low, high = (None if each is None else self.normal(node.field, each) for each in (node.low, node.high))
+        low, high = (
+            None if each is None else self.normal(node.field, each)
+            for each in (node.low, node.high)
+        )
         numbers: set[int] = set()
         for value, holders in self.exact[node.field].items():
             try:
@@ -213,13 +239,18 @@
         found: dict[int, float] | None = None
         for clause in node.filter:
             matching = self.raw(clause)
-            found = dict.fromkeys(matching if found is None else found.keys() & matching.keys(), 0.0)
+            found = dict.fromkeys(
+                matching if found is None else found.keys() & matching.keys(), 0.0
+            )
         for clause in node.must:
             scored = self.raw(clause)
             if found is None:
                 found = dict(scored)
             else:
-                found = {number: found[number] + scored[number] for number in found.keys() & scored.keys()}
+                found = {
+                    number: found[number] + scored[number]
+                    for number in found.keys() & scored.keys()
+                }
         counts: Counter[int] = Counter()
         extra: dict[int, float] = defaultdict(float)
         for clause in node.should:
@@ -229,8 +260,12 @@
         if found is None:
             found = dict.fromkeys(extra if node.least else self.live(), 0.0)
         if node.least:
-            found = {number: score for number, score in found.items() if counts[number] >= node.least}
-        found = {number: (score + extra.get(number, 0.0)) * node.boost for number, score in found.items()}
+            found = {
+                number: score for number, score in found.items() if counts[number] >= node.least
+            }
+        found = {
+            number: (score + extra.get(number, 0.0)) * node.boost for number, score in found.items()
+        }
         for clause in node.must_not:
             for number in self.raw(clause):
                 found.pop(number, None)
@@ -264,29 +299,48 @@
             body["aggregations"] = self.aggregate(search.aggs, set(found))
         return body
 
-    def order(self, search: Search, found: dict[int, float]) -> Iterable[tuple[int, float, list[Any]]]:
+    def order(
+        self, search: Search, found: dict[int, float]
+    ) -> Iterable[tuple[int, float, list[Any]]]:
         most = search.start + search.size
         if not search.sort:
             best = nsmallest(most, found.items(), key=lambda item: (-item[1], self.names[item[0]]))
-            return [(number, score, []) for number, score in best][search.start:]
+            return [(number, score, []) for number, score in best][search.start :]
 
         def values(number: int) -> list[Any]:
-            return [found[number] if key.field == "_score" else self.value(number, key.field) for key in search.sort]
-
-        rows = [(sort_rank(search.sort, row), self.names[number], number, row)
-                for number in found for row in [values(number)]]
+            return [
+                found[number] if key.field == "_score" else self.value(number, key.field)
+                for key in search.sort
+            ]
+
+        rows = [
+            (sort_rank(search.sort, row), self.names[number], number, row)
+            for number in found
+            for row in [values(number)]
+        ]
         if search.search_after is not None:
-            after = sort_rank(search.sort, [self.cursor(key, value) for key, value
-                                            in zip(search.sort, search.search_after, strict=True)])
+            after = sort_rank(
+                search.sort,
+                [
+                    self.cursor(key, value)
+                    for key, value in zip(search.sort, search.search_after, strict=True)
+                ],
+            )
             rows = [row for row in rows if after < row[0]]
-        best_rows = nsmallest(most, rows, key=lambda row: row[:2])[search.start:]
+        best_rows = nsmallest(most, rows, key=lambda row: row[:2])[search.start :]
         return [(number, found[number], values) for _, _, number, values in best_rows]
 
     def cursor(self, key: SortKey, value: Any) -> Any:
-        return value if key.field.startswith("_") or value is None else self.normal(key.field, value)
+        return (
+            value if key.field.startswith("_") or value is None else self.normal(key.field, value)
+        )
 
     def hit(self, search: Search, extra: Row, number: int, score: float, values: list[Any]) -> Row:
-        row: Row = {"_index": self.index, "_id": self.names[number], "_score": None if search.sort else score}
+        row: Row = {
+            "_index": self.index,
+            "_id": self.names[number],
+            "_score": None if search.sort else score,
+        }
         if search.track_scores:
             row["_score"] = score
         if extra.get("version"):
@@ -307,14 +361,22 @@
     def one(self, agg: Agg, numbers: set[int]) -> Row:
         if agg.kind in ("filter", "filters"):
             return self.filters(agg, numbers)
-        pairs = [(number, value) for number in numbers if (value := self.value(number, agg.field)) is not None]
+        pairs = [
+            (number, value)
+            for number in numbers
+            if (value := self.value(number, agg.field)) is not None
+        ]
         if agg.kind in ("terms", "histogram", "date_histogram"):
             return self.grouped(agg, pairs)
         if agg.kind == "range":
             buckets = []
             for spec in agg.ranges:
-                inside = {number for number, value in pairs if (spec.low is None or value >= spec.low)
-                          and (spec.high is None or value < spec.high)}
+                inside = {
+                    number
+                    for number, value in pairs
+                    if (spec.low is None or value >= spec.low)
+                    and (spec.high is None or value < spec.high)
+                }
                 buckets.append({"key": spec.key} | self.bucket(agg, inside))
             return {"buckets": buckets}
         return metric(agg.kind, [value for _, value in pairs])
@@ -335,20 +397,31 @@
             groups[key_of(value)].add(number)
         keys = sorted(groups)
         if agg.kind != "terms":
-            rows = [{"key": key} | ({"key_as_string": date_string(key)} if agg.kind == "date_histogram" else {})
-                    | self.bucket(agg, groups[key]) for key in keys]
+            rows = [
+                {"key": key}
+                | ({"key_as_string": date_string(key)} if agg.kind == "date_histogram" else {})
+                | self.bucket(agg, groups[key])
+                for key in keys
+            ]
             return {"buckets": rows}
         if agg.by_key:
             keys = keys if agg.ascending else keys[::-1]
         else:
             keys.sort(key=lambda key: -len(groups[key]))
-        kept = keys[:agg.size]
+        kept = keys[: agg.size]
         rows = []
         for key in kept:
-            row: Row = {"key": int(key), "key_as_string": str(key).lower()} if isinstance(key, bool) else {"key": key}
+            row: Row = (
+                {"key": int(key), "key_as_string": str(key).lower()}
+                if isinstance(key, bool)
+                else {"key": key}
+            )
             rows.append(row | self.bucket(agg, groups[key]))
-        return {"doc_count_error_upper_bound": 0, "buckets": rows,
-                "sum_other_doc_count": sum(len(groups[key]) for key in keys[agg.size:])}
+        return {
+            "doc_count_error_upper_bound": 0,
+            "buckets": rows,
+            "sum_other_doc_count": sum(len(groups[key]) for key in keys[agg.size :]),
+        }
 
     def keyer(self, agg: Agg) -> Callable[[Any], Any]:
         if agg.kind == "terms":
@@ -367,12 +440,19 @@
         return {"value": len(set(values))}
     total, count = float(sum(values)), len(values)
     least, most = (float(min(values)), float(max(values))) if values else (None, None)
-    stats = {"count": count, "min": least, "max": most,
-             "avg": total / count if count else None, "sum": total}
+    stats = {
+        "count": count,
+        "min": least,
+        "max": most,
+        "avg": total / count if count else None,
+        "sum": total,
+    }
     return stats if kind == "stats" else {"value": stats[kind]}
 
 
-def merged(join: Callable[[float, float], float], runs: Iterable[dict[int, float]]) -> dict[int, float]:
+def merged(
+    join: Callable[[float, float], float], runs: Iterable[dict[int, float]]
+) -> dict[int, float]:
     into: dict[int, float] = {}
     for run in runs:
         for number, score in run.items():
@@ -384,9 +464,15 @@
     if isinstance(wanted, bool):
         return source
     inside, outside = wanted
-    return {key: value for key, value in source.items()
-            if (not inside or any(fits(key, each) for each in inside)) and not any(fits(key, each) for each in outside)}
+    return {
+        key: value
+        for key, value in source.items()
+        if (not inside or any(fits(key, each) for each in inside))
+        and not any(fits(key, each) for each in outside)
+    }
 
 
 def fits(key: str, pattern: str) -> bool:
-    return key == pattern or pattern.endswith("*") and key.startswith(pattern[:-1]) or pattern == "*"
+    return (
+        key == pattern or pattern.endswith("*") and key.startswith(pattern[:-1]) or pattern == "*"
+    )
--- a/stepknot/lab/fleet.py
+++ b/stepknot/lab/fleet.py
@@ -152,13 +152,30 @@
 
 
 def settings_text(**given: Any) -> str:
-    values = {"name": "demo", "zone": "a", "port": 0, "admin": 0, "graph": 0, "instances": 2, "cells": 4,
-              "shards": 12, "aim": 1.0, "deadline": 3.0, "cold_time": 10, "extra_floor": 20, "zones": "true",
-              "admission": "  enabled = false", "peers": "", "ownership": "",
-              "subset": "", "max_attempts": 3,
-              "index": corpus.INDEX} | given
-    values["fields"] = "".join(f'  field "{name}" {{\n    type = "{kind}"\n  }}\n'
-                               for name, kind in corpus.FIELDS.items())
+    values = {
+        "name": "demo",
+        "zone": "a",
+        "port": 0,
+        "admin": 0,
+        "graph": 0,
+        "instances": 2,
+        "cells": 4,
+        "shards": 12,
+        "aim": 1.0,
+        "deadline": 3.0,
+        "cold_time": 10,
+        "extra_floor": 20,
+        "zones": "true",
+        "admission": "  enabled = false",
+        "peers": "",
+        "ownership": "",
+        "subset": "",
+        "max_attempts": 3,
+        "index": corpus.INDEX,
+    } | given
+    values["fields"] = "".join(
+        f'  field "{name}" {{\n    type = "{kind}"\n  }}\n' for name, kind in corpus.FIELDS.items()
+    )
     return SETTINGS.format(**values)
 
 
@@ -265,24 +282,62 @@
     links: Links | None = None  # between the brokers, where they fail on command
 
     @classmethod
-    def plan(cls, folder: Path, brokers: int, boxes: int, documents: int, port: int = 0, cells: int = 4,
-             zones: str = "ab", with_peers: bool = False, **more: Any) -> Fleet:
+    def plan(
+        cls,
+        folder: Path,
+        brokers: int,
+        boxes: int,
+        documents: int,
+        port: int = 0,
+        cells: int = 4,
+        zones: str = "ab",
+        with_peers: bool = False,
+        **more: Any,
+    ) -> Fleet:
         """`zones`: a letter for each; a cell's boxes are spread over them."""
         ports = free_ports(4 * brokers + 2 * boxes)
         fronts = [port + each for each in range(brokers)] if port else ports[:brokers]
-        admins = [port + 100 + each for each in range(brokers)] if port else ports[brokers:2 * brokers]
-        graphs = [port + 200 + each for each in range(brokers)] if port else ports[2 * brokers:3 * brokers]
-        peers = [port + 300 + each for each in range(brokers)] if port else ports[3 * brokers:4 * brokers]
-        rest = ports[4 * brokers:]
+        admins = (
+            [port + 100 + each for each in range(brokers)] if port else ports[brokers : 2 * brokers]
+        )
+        graphs = (
+            [port + 200 + each for each in range(brokers)]
+            if port
+            else ports[2 * brokers : 3 * brokers]
+        )
+        peers = (
+            [port + 300 + each for each in range(brokers)]
+            if port
+            else ports[3 * brokers : 4 * brokers]
+        )
+        rest = ports[4 * brokers :]
         count = len(zones)
-        zone_of = [zones[(number // cells + number % cells * (number // cells // count)) % count]
-                   for number in range(boxes)]
+        zone_of = [
+            zones[(number // cells + number % cells * (number // cells // count)) % count]
+            for number in range(boxes)
+        ]
         return cls(
-            folder, [Broker(number, each, zones[number % count], admins[number], graphs[number],
-                            peers[number] if with_peers else 0, f"b{number}")
-                     for number, each in enumerate(fronts)],
-            [Box(number, rest[2 * number], rest[2 * number + 1], number % cells, zone_of[number])
-             for number in range(boxes)], documents, cells, **more)
+            folder,
+            [
+                Broker(
+                    number,
+                    each,
+                    zones[number % count],
+                    admins[number],
+                    graphs[number],
+                    peers[number] if with_peers else 0,
+                    f"b{number}",
+                )
+                for number, each in enumerate(fronts)
+            ],
+            [
+                Box(number, rest[2 * number], rest[2 * number + 1], number % cells, zone_of[number])
+                for number in range(boxes)
+            ],
+            documents,
+            cells,
+            **more,
+        )
 
     def relay(self, seed: int) -> Links:
         """Lead the brokers' datagrams through links that can be made to fail."""
@@ -296,25 +351,48 @@
 
     def write_settings(self) -> None:
         for broker in self.brokers:
-            text = settings_text(port=broker.port, admin=broker.admin, graph=broker.graph,
-                                 zone=broker.zone, peers=self.peers_text(broker),
-                                 ownership=block_text("ownership", broker.owners),
-                                 subset=block_text("subset", broker.subset),
-                                 instances=len(self.brokers), cells=self.cells, **self.settings)
+            text = settings_text(
+                port=broker.port,
+                admin=broker.admin,
+                graph=broker.graph,
+                zone=broker.zone,
+                peers=self.peers_text(broker),
+                ownership=block_text("ownership", broker.owners),
+                subset=block_text("subset", broker.subset),
+                instances=len(self.brokers),
+                cells=self.cells,
+                **self.settings,
+            )
             (self.folder / f"broker-{broker.number}.hcl").write_text(text)
 
     def peers_text(self, broker: Broker) -> str:
         if not broker.peer:
             return ""
-        seeds = ", ".join(f'"{each.peers.get("advertise", f"127.0.0.1:{each.peer}")}"' for each in self.brokers[:3])
-        more = "".join(f"  {key} = {orjson.dumps(value).decode()}\n" for key, value in broker.peers.items())
+        seeds = ", ".join(
+            f'"{each.peers.get("advertise", f"127.0.0.1:{each.peer}")}"'
+            for each in self.brokers[:3]
+        )
+        more = "".join(
+            f"  {key} = {orjson.dumps(value).decode()}\n" for key, value in broker.peers.items()
+        )
         return PEERS.format(name=broker.name, port=broker.peer, seeds=seeds, more=more)
 
     def write_list(self) -> None:
-        rows = [{"address": box.address, "zone": box.zone, "cell": box.cell, "up_since": box.up_since,
-                 "state": "draining" if box.draining else "live"} for box in self.boxes if box.listed]
+        rows = [
+            {
+                "address": box.address,
+                "zone": box.zone,
+                "cell": box.cell,
+                "up_since": box.up_since,
+                "state": "draining" if box.draining else "live",
+            }
+            for box in self.boxes
+            if box.listed
+        ]
         path = self.folder / "boxes.json"
-        path.with_suffix(".new").write_bytes(orjson.dumps({"boxes": rows}, option=orjson.OPT_INDENT_2))
+        path.with_suffix(".new").write_bytes(
+            orjson.dumps({"boxes": rows}, option=orjson.OPT_INDENT_2)
+        )
         before = time.monotonic()  # from here on a broker may read it, noted or not
         os.replace(path.with_suffix(".new"), path)
         if self.on_list is not None:
@@ -322,15 +400,36 @@
 
     # --- processes
 
-    def spawn(self, *words: str, log: str, program: tuple[str, ...] = ("-m", "stepknot")) -> subprocess.Popen[bytes]:
+    def spawn(
+        self, *words: str, log: str, program: tuple[str, ...] = ("-m", "stepknot")
+    ) -> subprocess.Popen[bytes]:
         with open(self.folder / f"{log}.log", "ab") as errors:
-            return subprocess.Popen([sys.executable, *program, *words], stdout=subprocess.PIPE, stderr=errors,
-                                    env={**os.environ, "PYTHONHASHSEED": "0"})
+            return subprocess.Popen(
+                [sys.executable, *program, *words],
+                stdout=subprocess.PIPE,
+                stderr=errors,
+                env={**os.environ, "PYTHONHASHSEED": "0"},
+            )
 
     def start_box(self, box: Box, cold: bool) -> None:
-        words = ["box", str(self.folder / "broker-0.hcl"), "--listen", box.address, "--control", str(box.control),
-                 "--cell", str(box.cell), "--zone", box.zone, "--documents", str(self.documents),
-                 "--work-ms", str(self.work_ms), "--seed", str(box.number)]
+        words = [
+            "box",
+            str(self.folder / "broker-0.hcl"),
+            "--listen",
+            box.address,
+            "--control",
+            str(box.control),
+            "--cell",
+            str(box.cell),
+            "--zone",
+            box.zone,
+            "--documents",
+            str(self.documents),
+            "--work-ms",
+            str(self.work_ms),
+            "--seed",
+            str(box.number),
+        ]
         if cold:
             words.append("--cold")
         if self.taps:
@@ -339,8 +438,14 @@
         box.up_since = 1.0 if cold else 0.0  # until it is ready
 
     def start_broker(self, broker: Broker) -> None:
-        broker.process = self.spawn("serve", str(self.folder / f"broker-{broker.number}.hcl"), "--log-level",
-                                    self.log_level, log=f"broker-{broker.number}", program=self.program)
+        broker.process = self.spawn(
+            "serve",
+            str(self.folder / f"broker-{broker.number}.hcl"),
+            "--log-level",
+            self.log_level,
+            log=f"broker-{broker.number}",
+            program=self.program,
+        )
 
     def box_ready(self, box: Box) -> None:
         """Blocks until the box serves, then lists it."""
@@ -396,8 +501,15 @@
     return found
 
 
-def run_demo(port: int, seconds: float | None, documents: int, brokers: int, boxes: int,
-             words: Callable[[str], None], say: Callable[[bytes], Any]) -> int:
+def run_demo(
+    port: int,
+    seconds: float | None,
+    documents: int,
+    brokers: int,
+    boxes: int,
+    words: Callable[[str], None],
+    say: Callable[[bytes], Any],
+) -> int:
     """Serve until a signal or the time; a box that dies is taken off the list and comes back cold."""
     stop: list[int] = []
     signal.signal(signal.SIGTERM, lambda number, _: stop.append(number))
@@ -406,8 +518,14 @@
         fleet = Fleet.plan(Path(name), brokers, boxes, documents, port, with_peers=True)
         try:
             fleet.start(words)
-            say(orjson.dumps({"brokers": [broker.url for broker in fleet.brokers],
-                              "graphql": [broker.graph_url for broker in fleet.brokers]}))
+            say(
+                orjson.dumps(
+                    {
+                        "brokers": [broker.url for broker in fleet.brokers],
+                        "graphql": [broker.graph_url for broker in fleet.brokers],
+                    }
+                )
+            )
             sys.stdout.flush()
             until = time.monotonic() + seconds if seconds else float("inf")
             while not stop and time.monotonic() < until:
--- a/stepknot/lab/links.py
+++ b/stepknot/lab/links.py
@@ -36,7 +36,9 @@
         self.rules: dict[tuple[str, str], Rule] = {}
         self.rest = SOUND
         self.passed: Counter[tuple[str, str]] = Counter()
-        self.sockets = {name: self.loop.datagrams("127.0.0.1", 0, self.carrier(name)) for name in ports}
+        self.sockets = {
+            name: self.loop.datagrams("127.0.0.1", 0, self.carrier(name)) for name in ports
+        }
         self.thread = threading.Thread(target=self.loop.run, daemon=True)
 
     def address(self, name: str) -> str:
@@ -50,7 +52,9 @@
             if chance.random() < rule.loss:
                 return
             for _ in range(1 + (chance.random() < rule.copies)):
-                self.loop.call_later(chance.random() * rule.delay, lambda: self.hand_over(sender, target, data))
+                self.loop.call_later(
+                    chance.random() * rule.delay, lambda: self.hand_over(sender, target, data)
+                )
 
         return carry
 
@@ -60,7 +64,9 @@
 
     def cut(self, sources: list[str], targets: list[str], rule: Rule = CUT) -> None:
         """Nothing goes from these to those any more, in this direction."""
-        self.rules.update({(source, target): rule for source in sources for target in targets if source != target})
+        self.rules.update(
+            {(source, target): rule for source in sources for target in targets if source != target}
+        )
 
     def part(self, one: list[str], other: list[str]) -> None:
         self.cut(one, other)
--- a/stepknot/lab/ownership_check.py
+++ b/stepknot/lab/ownership_check.py
@@ -33,7 +33,10 @@
 Action = tuple[Any, ...]
 
 
-encoder, decoder = msgspec.msgpack.Encoder(order="deterministic"), msgspec.msgpack.Decoder(m.Message)
+encoder, decoder = (
+    msgspec.msgpack.Encoder(order="deterministic"),
+    msgspec.msgpack.Decoder(m.Message),
+)
 
 
 @lru_cache(100_000)
@@ -78,9 +81,13 @@
     now: int = 0
     voters: dict[str, Voter] = field(default_factory=dict)
     disks: dict[str, m.Saved | None] = field(default_factory=dict)
-    waiting: dict[str, list[tuple[str, Any]]] = field(default_factory=dict)  # replies until the disk has them
+    waiting: dict[str, list[tuple[str, Any]]] = field(
+        default_factory=dict
+    )  # replies until the disk has them
     owners: dict[str, Owner] = field(default_factory=dict)
-    sent: dict[tuple[str, str, bytes], None] = field(default_factory=dict)  # all that ever was: to, from, what
+    sent: dict[tuple[str, str, bytes], None] = field(
+        default_factory=dict
+    )  # all that ever was: to, from, what
     claims: dict[str, int] = field(default_factory=dict)
     writes: dict[str, int] = field(default_factory=dict)
     crashes: int = 0
@@ -96,7 +103,9 @@
             self.restart(name)
             self.voters[name].votes_from = float("-inf")  # the first start of a fleet
         for number, name in enumerate(CANDIDATES):
-            self.owners[name] = self.parts.owner(JOB, (name, number), self.settings(candidate=True), 0)
+            self.owners[name] = self.parts.owner(
+                JOB, (name, number), self.settings(candidate=True), 0
+            )
             self.claims[name] = self.writes[name] = 0
         return self
 
@@ -105,7 +114,9 @@
         return m.OwnerSettings(VOTERS, "f", lease, 0.0)
 
     def restart(self, name: str) -> None:
-        self.voters[name] = voter = self.parts.voter(name, self.settings(candidate=False), self.disks[name])
+        self.voters[name] = voter = self.parts.voter(
+            name, self.settings(candidate=False), self.disks[name]
+        )
         voter.start(self.now)
         self.waiting[name] = []
 
@@ -121,7 +132,11 @@
                 found.append(("nudge", name))
                 if not scope.time:
                     found.append(("stop", name))
-                if owner.pending is None and owner.committed is not None and self.writes[name] < scope.writes:
+                if (
+                    owner.pending is None
+                    and owner.committed is not None
+                    and self.writes[name] < scope.writes
+                ):
                     found.append(("write", name))
                 if self.handovers < scope.handovers:
                     found.append(("hand over", name))
@@ -132,7 +147,9 @@
                 found.append(("disk", name))
             if self.crashes < scope.crashes:
                 found.append(("crash", name))
-            if self.losses < scope.losses and all(each.way is None for each in self.voters.values()):
+            if self.losses < scope.losses and all(
+                each.way is None for each in self.voters.values()
+            ):
                 found.append(("lose", name))
             if voter.way is not None:
                 found.append(("way", name))
@@ -223,7 +240,9 @@
         owner = self.owners[name]
         assert owner.committed is not None
         self.writes[name] += 1
-        owner.propose(self.now, owner.committed.value + f"{owner.epoch}.{self.writes[name]} ".encode())
+        owner.propose(
+            self.now, owner.committed.value + f"{owner.epoch}.{self.writes[name]} ".encode()
+        )
         self.carry(name)
 
     def do_hand_over(self, name: str) -> None:
@@ -260,8 +279,11 @@
             if not new.startswith(old):
                 raise Breach(f"{after} {new!r} does not continue from {before} {old!r}")
         if self.scope.time:
-            owning = [name for name, owner in self.owners.items()
-                      if owner.phase is Phase.OWNING and self.now < owner.until]
+            owning = [
+                name
+                for name, owner in self.owners.items()
+                if owner.phase is Phase.OWNING and self.now < owner.until
+            ]
             if len(owning) > 1:
                 raise Breach(f"{' and '.join(owning)} own at {self.now}")
 
@@ -269,11 +291,15 @@
 
     def key(self) -> str:
         """The same for worlds that differ in voters' and candidates' names only."""
-        return min(self.text(dict(zip((*VOTERS, *CANDIDATES), (*some, *others), strict=True)))
-                   for some in itertools.permutations(VOTERS) for others in itertools.permutations(CANDIDATES))
+        return min(
+            self.text(dict(zip((*VOTERS, *CANDIDATES), (*some, *others), strict=True)))
+            for some in itertools.permutations(VOTERS)
+            for others in itertools.permutations(CANDIDATES)
+        )
 
     def text(self, names: dict[str, str]) -> str:
         """All that later behaviour hangs on, under other names."""
+
         def of(given: Any) -> Any:
             """A dict or a set by its new names, in their order."""
             if isinstance(given, dict):
@@ -285,30 +311,98 @@
 
         voters = []
         for name, voter in self.voters.items():
-            jobs = [(job.promised, names.get(job.holder[0], ""), job.until, held(job.held), job.committed)
-                    for job in voter.jobs.values()]
-            way = voter.way and (of(voter.way.lives), of(voter.way.after), of(voter.way.done), voter.way.life)
+            jobs = [
+                (
+                    job.promised,
+                    names.get(job.holder[0], ""),
+                    job.until,
+                    held(job.held),
+                    job.committed,
+                )
+                for job in voter.jobs.values()
+            ]
+            way = voter.way and (
+                of(voter.way.lives),
+                of(voter.way.after),
+                of(voter.way.done),
+                voter.way.life,
+            )
             disk = self.disks[name]
-            kept = disk and (disk.life, of({**dict.fromkeys(VOTERS, 1), **disk.lives}), [
-                (each.promised, names.get(each.holder, ""), held(each.held)) for each in disk.jobs])
+            kept = disk and (
+                disk.life,
+                of({**dict.fromkeys(VOTERS, 1), **disk.lives}),
+                [
+                    (each.promised, names.get(each.holder, ""), held(each.held))
+                    for each in disk.jobs
+                ],
+            )
             waiting = sorted((names[to], msg(each)) for to, each in self.waiting[name])
-            voters.append((names[name], jobs, voter.life, of(voter.lives), voter.votes_from, way, voter.unsaved, kept,
-                           waiting))
+            voters.append(
+                (
+                    names[name],
+                    jobs,
+                    voter.life,
+                    of(voter.lives),
+                    voter.votes_from,
+                    way,
+                    voter.unsaved,
+                    kept,
+                    waiting,
+                )
+            )
         owners = []
         for name, owner in self.owners.items():
-            pending = owner.pending and (held(owner.pending.held), of(
-                {each: (ack.life, of(ack.lives)) for each, ack in owner.pending.acks.items()}))
-            times = (owner.until, owner.claimed_at, owner.renew_at, [
-                (number, at, of({each: msg(renewed) for each, renewed in answers.items()}))
-                for number, (at, answers) in owner.numbers.items()]) if self.scope.time else ()
-            owners.append((
-                names[name], owner.phase.name, owner.epoch, owner.known_epoch, owner.released,
-                of({each: msg(grant) for each, grant in owner.grants.items()}), of(owner.refusals), held(owner.base),
-                owner.step, times, pending, owner.committed and held(owner.committed), self.claims[name],
-                self.writes[name]))
-        sent = sorted(repr((names[to], names[source], msg(decode(data)))) for to, source, data in self.sent)
+            pending = owner.pending and (
+                held(owner.pending.held),
+                of({each: (ack.life, of(ack.lives)) for each, ack in owner.pending.acks.items()}),
+            )
+            times = (
+                (
+                    owner.until,
+                    owner.claimed_at,
+                    owner.renew_at,
+                    [
+                        (number, at, of({each: msg(renewed) for each, renewed in answers.items()}))
+                        for number, (at, answers) in owner.numbers.items()
+                    ],
+                )
+                if self.scope.time
+                else ()
+            )
+            owners.append(
+                (
+                    names[name],
+                    owner.phase.name,
+                    owner.epoch,
+                    owner.known_epoch,
+                    owner.released,
+                    of({each: msg(grant) for each, grant in owner.grants.items()}),
+                    of(owner.refusals),
+                    held(owner.base),
+                    owner.step,
+                    times,
+                    pending,
+                    owner.committed and held(owner.committed),
+                    self.claims[name],
+                    self.writes[name],
+                )
+            )
+        sent = sorted(
+            repr((names[to], names[source], msg(decode(data)))) for to, source, data in self.sent
+        )
         counts = sorted((version, value) for version, value in self.counted.items())
-        return repr((sorted(voters), sorted(owners), sent, counts, self.now, self.crashes, self.losses, self.handovers))
+        return repr(
+            (
+                sorted(voters),
+                sorted(owners),
+                sent,
+                counts,
+                self.now,
+                self.crashes,
+                self.losses,
+                self.handovers,
+            )
+        )
 
 
 def held(record: m.Held) -> tuple[Any, ...]:
@@ -380,13 +474,27 @@
     return found[::-1]
 
 
-WEIGHTS = {"deliver": 3.0, "claim": 0.3, "nudge": 0.5, "write": 3.0, "hand over": 0.5, "renew": 1.0, "disk": 3.0,
-           "crash": 0.1, "lose": 0.2, "way": 3.0, "time": 0.3, "stop": 0.3}
+WEIGHTS = {
+    "deliver": 3.0,
+    "claim": 0.3,
+    "nudge": 0.5,
+    "write": 3.0,
+    "hand over": 0.5,
+    "renew": 1.0,
+    "disk": 3.0,
+    "crash": 0.1,
+    "lose": 0.2,
+    "way": 3.0,
+    "time": 0.3,
+    "stop": 0.3,
+}
 LINKS, SPELL = (0.003, 1.0, 1.0), 25  # how well links carry, and for how many actions that lasts
 AGAIN = {"deliver": 0.003, "nudge": 0.5, "way": 0.3}  # how much less once it was done
 
 
-def walk(scope: Scope, parts: Parts | None = None, seeds: Iterable[int] = range(100), steps: int = 80) -> Result:
+def walk(
+    scope: Scope, parts: Parts | None = None, seeds: Iterable[int] = range(100), steps: int = 80
+) -> Result:
     """At random, deep. Each walk likes some kinds of action more than others; what was done before is done seldom
     again, so that walks get somewhere."""
     result = Result()
@@ -397,16 +505,27 @@
         trail: list[Action] = []
         weights = {kind: usual * chance.choice((0.3, 1.0, 3.0)) for kind, usual in WEIGHTS.items()}
         done: Counter[Action] = Counter()
-        links: dict[Action, float] = {}  # by receiver and sender: some are as good as cut for a while
+        links: dict[
+            Action, float
+        ] = {}  # by receiver and sender: some are as good as cut for a while
         for step in range(steps):
             if step % SPELL == 0:
-                links = {each: chance.choice(LINKS) for each in itertools.product((*VOTERS, *CANDIDATES), repeat=2)}
+                links = {
+                    each: chance.choice(LINKS)
+                    for each in itertools.product((*VOTERS, *CANDIDATES), repeat=2)
+                }
             actions = world.actions()
             if not actions:
                 break
-            (action,) = chance.choices(actions, [
-                weights[each[0]] * links.get(each[1:3], 1.0)
-                * (AGAIN[each[0]] ** min(done[each], 3) if each[0] in AGAIN else 1.0) for each in actions])
+            (action,) = chance.choices(
+                actions,
+                [
+                    weights[each[0]]
+                    * links.get(each[1:3], 1.0)
+                    * (AGAIN[each[0]] ** min(done[each], 3) if each[0] in AGAIN else 1.0)
+                    for each in actions
+                ],
+            )
             trail.append(action)
             done[action] += 1
             result.states += 1
@@ -418,7 +537,9 @@
     return result
 
 
-def phases(scope: Scope, parts: Parts | None = None, seeds: Iterable[int] = range(100), count: int = 14) -> Result:
+def phases(
+    scope: Scope, parts: Parts | None = None, seeds: Iterable[int] = range(100), count: int = 14
+) -> Result:
     """At random, in phases: some action, then all that some links carry, until nothing new comes by them. Deep
     orders are reached so, such as a record that one voter has, then another's memory lost, then the first cut off."""
     result = Result()
@@ -433,23 +554,46 @@
             for _ in range(count):
                 some = [each for each in world.actions() if each[0] != "deliver"]
                 if some:
-                    take(world, trail, chance.choices(some, [WEIGHTS[each[0]] ** 0.5 for each in some])[0])
-                joined = [each for each in itertools.combinations((*VOTERS, *CANDIDATES), 2) if chance.random() > cut]
-                carried = [*joined, *((to, source) for source, to in joined if chance.random() > 0.2)]
+                    take(
+                        world,
+                        trail,
+                        chance.choices(some, [WEIGHTS[each[0]] ** 0.5 for each in some])[0],
+                    )
+                joined = [
+                    each
+                    for each in itertools.combinations((*VOTERS, *CANDIDATES), 2)
+                    if chance.random() > cut
+                ]
+                carried = [
+                    *joined,
+                    *((to, source) for source, to in joined if chance.random() > 0.2),
+                ]
                 for turn in range(60):
                     if turn % 10 == 0:
                         for each in [each for each in world.actions() if each[0] == "way"]:
                             take(world, trail, each)
-                    due = [each for each in world.actions() if each[0] == "deliver" and each not in gone
-                           and tuple(sorted(each[1:3])) in joined and each[1:3] in carried]
-                    disks = [each for each in world.actions() if each[0] == "disk" and chance.random() < 0.9]
+                    due = [
+                        each
+                        for each in world.actions()
+                        if each[0] == "deliver"
+                        and each not in gone
+                        and tuple(sorted(each[1:3])) in joined
+                        and each[1:3] in carried
+                    ]
+                    disks = [
+                        each
+                        for each in world.actions()
+                        if each[0] == "disk" and chance.random() < 0.9
+                    ]
                     if not due and not disks:
                         break
                     action = chance.choice(due + disks)
                     gone.add(action)
                     if action[0] == "disk" or chance.random() < 0.95:
                         take(world, trail, action)
-                late = [each for each in world.actions() if each[0] == "deliver" and each not in gone]
+                late = [
+                    each for each in world.actions() if each[0] == "deliver" and each not in gone
+                ]
                 gone.update(each for each in late if chance.random() < 0.5)
         except Breach as breach:
             result.note(scope, parts, trail, breach)
@@ -481,7 +625,7 @@
     """With every action taken out that the breach does not need."""
     at = len(trail) - 1
     while at >= 0:
-        fewer = trail[:at] + trail[at + 1:]
+        fewer = trail[:at] + trail[at + 1 :]
         if replay(scope, parts, fewer):
             trail = fewer
         at = min(at - 1, len(trail) - 1)
@@ -489,5 +633,12 @@
 
 
 def story(trail: Iterable[Action]) -> str:
-    return "\n".join(f"{number:>3}. " + (f"{action[2]} -> {action[1]}: {decode(action[3])}" if action[0] == "deliver"
-                                         else " ".join(map(str, action))) for number, action in enumerate(trail, 1))
+    return "\n".join(
+        f"{number:>3}. "
+        + (
+            f"{action[2]} -> {action[1]}: {decode(action[3])}"
+            if action[0] == "deliver"
+            else " ".join(map(str, action))
+        )
+        for number, action in enumerate(trail, 1)
+    )
--- a/stepknot/lab/ownership_model.py
+++ b/stepknot/lab/ownership_model.py
@@ -50,12 +50,24 @@
     waiting: list[bytes] = field(default_factory=list)
     writing: int = 0  # saves that are not on disk yet
     disk_free: float = -math.inf  # one is written after the other
-    held_back: list[tuple[str, bytes]] = field(default_factory=list)  # until the disk has what was saved
+    held_back: list[tuple[str, bytes]] = field(
+        default_factory=list
+    )  # until the disk has what was saved
 
 
 class Fleet:
-    def __init__(self, voters: int, clients: int, jobs: int, seed: int, lease: float = 2.0, drift: float = 0.05,
-                 astray: float = 0.0, period: float = 0.1, make_voter: type[Voter] = Voter) -> None:
+    def __init__(
+        self,
+        voters: int,
+        clients: int,
+        jobs: int,
+        seed: int,
+        lease: float = 2.0,
+        drift: float = 0.05,
+        astray: float = 0.0,
+        period: float = 0.1,
+        make_voter: type[Voter] = Voter,
+    ) -> None:
         """`astray`: by so much clocks' rates differ beyond what the settings say."""
         self.random = random.Random(seed)
         self.now, self.count = 0.0, 0
@@ -65,7 +77,9 @@
         self.spread, self.period, self.make_voter = drift / 2 + astray, period, make_voter
         self.jobs = [f"job{number}" for number in range(jobs)]
         self.faults = Faults()
-        self.disks: dict[str, m.Saved | None] = {name: m.Saved("stepknot", name, 1, {}, []) for name in names[:voters]}
+        self.disks: dict[str, m.Saved | None] = {
+            name: m.Saved("stepknot", name, 1, {}, []) for name in names[:voters]
+        }
         self.processes: dict[str, Process] = {}
         self.down: set[str] = set()  # for the members' view, which learns of it late
         self.committed: dict[str, dict[tuple[int, int], bytes]] = {name: {} for name in self.jobs}
@@ -87,9 +101,17 @@
         if name in self.settings.voters:
             voter = self.make_voter(name, self.settings, self.disks[name])
         works = {job: self.work(job, name, birth) for job in self.jobs}
-        node = Ownership((name, birth), self.settings, voter, works, self.random.getrandbits(60),
-                         lambda other: other in self.processes and other not in self.down)
-        self.processes[name] = process = Process(name, birth, node, 1 + self.random.uniform(-1, 1) * self.spread)
+        node = Ownership(
+            (name, birth),
+            self.settings,
+            voter,
+            works,
+            self.random.getrandbits(60),
+            lambda other: other in self.processes and other not in self.down,
+        )
+        self.processes[name] = process = Process(
+            name, birth, node, 1 + self.random.uniform(-1, 1) * self.spread
+        )
         self.down.discard(name)
         self.tick(process)
 
@@ -102,9 +124,15 @@
                 return None
             due[0] = now + self.period * self.random.uniform(0.5, 1.5)
             number, _, _ = msgspec.msgpack.decode(value) if value else (0, b"", 0)
-            return msgspec.msgpack.encode((number + 1, blake2b(value, digest_size=8).digest(), birth))
+            return msgspec.msgpack.encode(
+                (number + 1, blake2b(value, digest_size=8).digest(), birth)
+            )
 
-        return Work(step, lambda value, number, body: value, lambda held: self.carry_out(job, name, birth, held))
+        return Work(
+            step,
+            lambda value, number, body: value,
+            lambda held: self.carry_out(job, name, birth, held),
+        )
 
     def kill(self, name: str, disk: bool = True) -> None:
         process = self.processes[name]
@@ -161,7 +189,9 @@
         out, saved, _ = process.node.take()
         if saved is not None:
             process.writing += 1
-            process.disk_free = max(process.disk_free, self.now) + self.random.uniform(0.1, 1.0) * DISK
+            process.disk_free = (
+                max(process.disk_free, self.now) + self.random.uniform(0.1, 1.0) * DISK
+            )
             self.at(process.disk_free, lambda: self.on_disk(process, saved))
         for to, data, waits in out:
             if waits and process.writing:
@@ -212,18 +242,24 @@
             last = history[before] if before is not None else b""
             parent = msgspec.msgpack.decode(held.value)[1] if held.value else b""
             if held.value != last and parent != blake2b(last, digest_size=8).digest():
-                raise Breach(f"{job}: {held.version} of {process.name} does not continue from {before}")
+                raise Breach(
+                    f"{job}: {held.version} of {process.name} does not continue from {before}"
+                )
             later = [version for version in history if version > held.version]
             if later and history[min(later)] != held.value:
                 after = history[min(later)]
                 if msgspec.msgpack.decode(after)[1] != blake2b(held.value, digest_size=8).digest():
-                    raise Breach(f"{job}: {held.version} counts, but {min(later)} does not continue from it")
+                    raise Breach(
+                        f"{job}: {held.version} counts, but {min(later)} does not continue from it"
+                    )
             history[held.version] = held.value
 
     def carry_out(self, job: str, name: str, birth: int, held: m.Held) -> None:
         last = self.ever.get((name, job), (0, 0))
         if held.version < last:
-            raise Breach(f"{name} carries out {held.version} of {job}, and before its restart it did {last}")
+            raise Breach(
+                f"{name} carries out {held.version} of {job}, and before its restart it did {last}"
+            )
         self.ever[name, job] = held.version
         newest = self.applied.get((name, birth, job), (0, 0))
         if held.version <= newest:
@@ -235,9 +271,13 @@
     def look(self) -> None:
         """Who acts at this moment."""
         for job in self.jobs:
-            acting = [each.name for each in self.processes.values()
-                      if each.running and self.now >= each.paused_until
-                      and each.node.jobs[job].owner.acting(self.clock(each))]
+            acting = [
+                each.name
+                for each in self.processes.values()
+                if each.running
+                and self.now >= each.paused_until
+                and each.node.jobs[job].owner.acting(self.clock(each))
+            ]
             if len(acting) > 1:
                 self.overlaps += 1
                 if self.check_clocks:
@@ -261,14 +301,25 @@
         return self.trail.hexdigest()
 
 
-def random_day(seed: int, voters: int = 5, clients: int = 7, jobs: int = 3, seconds: float = 40.0,
-               astray: float = 0.0, make_voter: type[Voter] = Voter) -> Fleet:
+def random_day(
+    seed: int,
+    voters: int = 5,
+    clients: int = 7,
+    jobs: int = 3,
+    seconds: float = 40.0,
+    astray: float = 0.0,
+    make_voter: type[Voter] = Voter,
+) -> Fleet:
     """Faults drawn from the seed, some kinds each time; then calm, by whose end all jobs have owners. Raises Breach."""
     chance = random.Random(seed)
-    fleet = Fleet(voters, clients, jobs, chance.getrandbits(60), astray=astray, make_voter=make_voter)
+    fleet = Fleet(
+        voters, clients, jobs, chance.getrandbits(60), astray=astray, make_voter=make_voter
+    )
     names = list(fleet.processes)
-    kinds = chance.sample(["loss", "late", "copies", "pause", "kill", "amnesia", "cut", "one-sided", "leave", "all"],
-                          chance.randint(2, 6))
+    kinds = chance.sample(
+        ["loss", "late", "copies", "pause", "kill", "amnesia", "cut", "one-sided", "leave", "all"],
+        chance.randint(2, 6),
+    )
     lost_until = [0.0]
 
     def starter(name: str) -> Callable[[], None]:
@@ -287,8 +338,14 @@
             for each in dying:
                 if not fleet.processes[each].running:
                     continue
-                forgets = kind == "amnesia" and each in fleet.settings.voters and fleet.now > lost_until[0]
-                if forgets:  # one at a time: with the majority's memory gone nothing can be promised
+                forgets = (
+                    kind == "amnesia"
+                    and each in fleet.settings.voters
+                    and fleet.now > lost_until[0]
+                )
+                if (
+                    forgets
+                ):  # one at a time: with the majority's memory gone nothing can be promised
                     lost_until[0] = math.inf
                 if kind == "leave":
                     process = fleet.processes[each]
@@ -300,13 +357,18 @@
             small = set(chance.sample(names, chance.randint(1, len(names) // 2)))
             fleet.faults.cut = lambda source, target: (source in small) != (target in small)
         else:
-            pairs = {(source, target) for source in names for target in names if chance.random() < 0.25}
+            pairs = {
+                (source, target) for source in names for target in names if chance.random() < 0.25
+            }
             fleet.faults.cut = lambda source, target: (source, target) in pairs
         if kind in ("cut", "one-sided"):
-            fleet.at(fleet.now + long, lambda: setattr(fleet.faults, "cut", lambda source, target: False))
+            fleet.at(
+                fleet.now + long, lambda: setattr(fleet.faults, "cut", lambda source, target: False)
+            )
         if lost_until[0] == math.inf and all(
-                each.node.voter is None or each.running and each.node.voter.way is None
-                for each in fleet.processes.values()):
+            each.node.voter is None or each.running and each.node.voter.way is None
+            for each in fleet.processes.values()
+        ):
             lost_until[0] = fleet.now
 
     at = 3.0
@@ -320,5 +382,7 @@
             fleet.start(name)
     fleet.run(seconds + 12 * fleet.settings.lease)
     if not fleet.settled():
-        raise Breach(f"12 leases after the last trouble not every job has an owner: {fleet.owned} at {fleet.now}")
+        raise Breach(
+            f"12 leases after the last trouble not every job has an owner: {fleet.owned} at {fleet.now}"
+        )
     return fleet
--- a/stepknot/lab/peers_baselines.py
+++ b/stepknot/lab/peers_baselines.py
@@ -33,8 +33,9 @@
 class Baseline:
     def __init__(self, settings: PeerSettings, own: Record, seed: int) -> None:
         self.own, self.random = own, random.Random(seed)
-        self.addresses: dict[str, Address] = {f"b{number}": ("127.0.0.1", 1 + number)
-                                              for number in range(settings.configured)}
+        self.addresses: dict[str, Address] = {
+            f"b{number}": ("127.0.0.1", 1 + number) for number in range(settings.configured)
+        }
         self.held = dict.fromkeys(self.addresses, State.ALIVE)
         self.out: list[tuple[Address, bytes]] = []
         self.changes: list[Change] = []
@@ -61,7 +62,9 @@
             self.held[name] = state
 
     def send(self, name: str, *message: Any) -> None:
-        self.out.append((self.addresses[name], msgspec.msgpack.encode(("stepknot", self.own.name, *message))))
+        self.out.append(
+            (self.addresses[name], msgspec.msgpack.encode(("stepknot", self.own.name, *message)))
+        )
 
 
 class Heartbeats(Baseline):
@@ -102,7 +105,9 @@
             gaps = self.gaps.setdefault(name, deque([SECOND], GAPS))
             gaps.append(now - self.heard[name])
             spread = max(statistics.pstdev(gaps), LEAST_SPREAD) if len(gaps) > 1 else LEAST_SPREAD
-            self.limits[name] = statistics.fmean(gaps) + spread * 5.612  # where a normal's tail is 10 ** -PHI
+            self.limits[name] = (
+                statistics.fmean(gaps) + spread * 5.612
+            )  # where a normal's tail is 10 ** -PHI
         self.heard[name] = now
 
     def silent(self, now: float, name: str) -> bool:
@@ -140,7 +145,11 @@
                 self.learn(now, name, self.incarnations[name], State.DEAD)
 
     def here(self) -> list[str]:
-        return [name for name, state in self.held.items() if state is not State.DEAD and name != self.own.name]
+        return [
+            name
+            for name, state in self.held.items()
+            if state is not State.DEAD and name != self.own.name
+        ]
 
     def pick(self) -> str:
         if not self.order:
@@ -150,7 +159,12 @@
 
     def tell(self, name: str, kind: str, about: str = "") -> None:
         items = sorted(self.news, key=lambda each: -self.news[each])[:PIGGYBACK]
-        self.send(name, kind, about, [(each, self.incarnations[each], int(self.held[each])) for each in items])
+        self.send(
+            name,
+            kind,
+            about,
+            [(each, self.incarnations[each], int(self.held[each])) for each in items],
+        )
         for each in items:
             self.news[each] -= 1
             if not self.news[each]:
--- a/stepknot/lab/peers_model.py
+++ b/stepknot/lab/peers_model.py
@@ -73,7 +73,9 @@
 
 
 class Model:
-    def __init__(self, size: int, seed: int, settings: PeerSettings | None = None, make: Make = Shipped) -> None:
+    def __init__(
+        self, size: int, seed: int, settings: PeerSettings | None = None, make: Make = Shipped
+    ) -> None:
         self.random = random.Random(seed)
         self.now = 0.0
         self.make, self.network = make, Network()
@@ -86,8 +88,10 @@
         self.epoch = 1000
         names = [f"b{number}" for number in range(size)]
         seeds = tuple(("127.0.0.1", 1 + number) for number in range(min(size, 3)))
-        self.settings = PeerSettings(**{each: getattr(self.settings, each) for each in PeerSettings.__slots__}
-                                     | {"seeds": seeds, "configured": size})
+        self.settings = PeerSettings(
+            **{each: getattr(self.settings, each) for each in PeerSettings.__slots__}
+            | {"seeds": seeds, "configured": size}
+        )
         for number, name in enumerate(names):
             self.at(self.random.uniform(0, 1.0), self.starter(name, ("127.0.0.1", 1 + number)))
 
@@ -100,9 +104,17 @@
         old = self.processes.get(name)
         address = address or (old.address if old else ("127.0.0.1", 1 + len(self.by_address)))
         self.epoch += 1
-        own = Record(name, *address, self.epoch if epoch is None else epoch, self.random.getrandbits(32), 0,
-                     State.JOINING)
-        process = Process(name, address, self.make(self.settings, own, self.random.getrandbits(60)), self.now)
+        own = Record(
+            name,
+            *address,
+            self.epoch if epoch is None else epoch,
+            self.random.getrandbits(32),
+            0,
+            State.JOINING,
+        )
+        process = Process(
+            name, address, self.make(self.settings, own, self.random.getrandbits(60)), self.now
+        )
         self.processes[name] = self.by_address[address] = process
         self.tick(process)
         return process
@@ -157,7 +169,10 @@
             process.member.tick(self.now)
             self.carry(process)
         if not once:
-            self.at(self.now + self.settings.step * self.random.uniform(0.95, 1.05), lambda: self.tick(process))
+            self.at(
+                self.now + self.settings.step * self.random.uniform(0.95, 1.05),
+                lambda: self.tick(process),
+            )
 
     def carry(self, process: Process) -> None:
         out, changes = process.member.take()
@@ -169,7 +184,11 @@
     def send(self, source: Process, address: Address, data: bytes) -> None:
         network, chance = self.network, self.random
         target = self.by_address.get(address)
-        if target is None or network.cut(source.name, target.name) or chance.random() < network.loss:
+        if (
+            target is None
+            or network.cut(source.name, target.name)
+            or chance.random() < network.loss
+        ):
             return
         for _ in range(2 if network.copies and chance.random() < network.copies else 1):
             late = 1.0 if network.late and chance.random() < network.late else LONGEST
@@ -197,16 +216,29 @@
     def settled(self) -> bool:
         """Whether every running member holds exactly the running ones to be alive."""
         names = {each.name for each in self.up()}
-        return all({name for name, state in view.items() if state in (State.ALIVE, State.SUSPECT, State.JOINING)}
-                   == names and all(view[name] is State.ALIVE for name in names) for view in self.views().values())
+        return all(
+            {
+                name
+                for name, state in view.items()
+                if state in (State.ALIVE, State.SUSPECT, State.JOINING)
+            }
+            == names
+            and all(view[name] is State.ALIVE for name in names)
+            for view in self.views().values()
+        )
 
     def false_deaths(self) -> list[tuple[float, str, str]]:
         """When, at whom, of whom: deaths told first-hand of processes that were there all the time."""
         found = []
         for when, at, change in self.log:
             process = self.processes.get(change.name)
-            if change.after is State.DEAD and process is not None and process.ended > when and not process.left and (
-                    process.started < when - self.settings.dead_after):
+            if (
+                change.after is State.DEAD
+                and process is not None
+                and process.ended > when
+                and not process.left
+                and (process.started < when - self.settings.dead_after)
+            ):
                 found.append((when, at, change.name))
         return found
 
@@ -216,8 +248,14 @@
         return blake2b(repr(self.log).encode(), digest_size=16).hexdigest()
 
 
-def run_script(size: int, seed: int, seconds: float, script: Callable[[Model], Any], make: Make = Shipped,
-               settings: PeerSettings | None = None) -> Model:
+def run_script(
+    size: int,
+    seed: int,
+    seconds: float,
+    script: Callable[[Model], Any],
+    make: Make = Shipped,
+    settings: PeerSettings | None = None,
+) -> Model:
     model = Model(size, seed, settings, make)
     script(model)
     model.run(seconds)
--- a/stepknot/lab/peers_search.py
+++ b/stepknot/lab/peers_search.py
@@ -103,11 +103,16 @@
             cuts = {(name, self.chance.choice(names))}
         elif kind == "split":
             part = set(self.chance.sample(names, self.chance.randint(1, len(names) // 2)))
-            cuts = {(one, other) for one in names for other in names if (one in part) != (other in part)}
+            cuts = {
+                (one, other) for one in names for other in names if (one in part) != (other in part)
+            }
         else:
             cuts = {(name, other) if kind == "mute" else (other, name) for other in names}
         self.cuts |= cuts
-        self.model.at(self.model.now + self.chance.uniform(1.0, 25.0), lambda: self.cuts.difference_update(cuts))
+        self.model.at(
+            self.model.now + self.chance.uniform(1.0, 25.0),
+            lambda: self.cuts.difference_update(cuts),
+        )
 
     def play(self) -> Found:
         model = self.model
@@ -136,7 +141,9 @@
         """What does not hold now, in one sentence; empty: all does."""
         model, now, settings = self.model, self.model.now, self.model.settings
         running = len(model.up())
-        self.lately = [each for each in self.lately if each[0] > now - 3 * settings.dead_after] + [(now, running)]
+        self.lately = [each for each in self.lately if each[0] > now - 3 * settings.dead_after] + [
+            (now, running)
+        ]
         most_lately = max(count for _, count in self.lately)
         if self.gentle:
             for when, at, change in model.false_deaths():
@@ -152,7 +159,8 @@
             if process.sent > settings.rate * (now - process.started) + 2 * settings.burst:
                 return f"{now:.2f} s: {process.name} sent {process.sent} bytes"
             if sum(table.counts) != len(table.records) or any(
-                    table.records[name].state in (State.DEAD, State.LEFT) for name in table.here):
+                table.records[name].state in (State.DEAD, State.LEFT) for name in table.here
+            ):
                 return f"{now:.2f} s: the table of {process.name} does not fit itself"
         return ""
 
--- a/stepknot/lab/scale_figures.py
+++ b/stepknot/lab/scale_figures.py
@@ -43,12 +43,14 @@
     def settled(self, size: int) -> bool:
         """Whether all that are asked hold exactly so many to be alive, and none to be doubtful."""
         return all(each is not None and each.holds(size) for each in self.brokers) and all(
-            each is not None and each.settled == each.outside for each in self.hosts)
+            each is not None and each.settled == each.outside for each in self.hosts
+        )
 
     def owned(self) -> bool:
         """Whether one owns the job, and all real brokers hear of an owner."""
         owners = sum(each is not None and each.owns for each in self.brokers) + sum(
-            len(each.owns) for each in self.hosts if each is not None)
+            len(each.owns) for each in self.hosts if each is not None
+        )
         return owners == 1 and all(each is not None and each.knows_owner for each in self.brokers)
 
     def deaths(self) -> dict[str, int]:
@@ -72,15 +74,29 @@
     def members(state: str) -> int:
         return values.get(f'{STATES}{state}"}}', 0)
 
-    return BrokerState(processor_time(process), resident(process), event("bytes"), event("kept back"),
-                       members("alive"), members("suspect") + members("joining"), event("stood still"),
-                       bool(values.get(OWNED)), bool(values.get(KNOWN)))
+    return BrokerState(
+        processor_time(process),
+        resident(process),
+        event("bytes"),
+        event("kept back"),
+        members("alive"),
+        members("suspect") + members("joining"),
+        event("stood still"),
+        bool(values.get(OWNED)),
+        bool(values.get(KNOWN)),
+    )
 
 
 def processor_time(process: int) -> float:
     """Seconds that a process had, in all its threads that are there: finer than the clock ticks of its `stat`, in which
     a quiet broker's control would not show."""
-    return sum(int(each.read_text().split()[0]) for each in Path(f"/proc/{process}/task").glob("*/schedstat")) / 1e9
+    return (
+        sum(
+            int(each.read_text().split()[0])
+            for each in Path(f"/proc/{process}/task").glob("*/schedstat")
+        )
+        / 1e9
+    )
 
 
 OWNERS = ("owner", "owner_again")  # steps that are played with voters only
@@ -98,7 +114,9 @@
     """Seconds until all views were right; none: not within the run's time, or not played."""
 
     start: float | None = None
-    owner: float | None = None  # from there until one owns the job, as all real brokers know; also not without voters
+    owner: float | None = (
+        None  # from there until one owns the job, as all real brokers know; also not without voters
+    )
     crash: float | None = None
     stall: float | None = None
     cut: float | None = None  # until all outside held those inside dead
@@ -112,24 +130,34 @@
 def shares(before: Sample, after: Sample) -> list[float]:
     """Of a core, that each real broker had between the two."""
     span = after.at - before.at
-    return [(two.cpu - one.cpu) / span for one, two in zip(before.brokers, after.brokers, strict=True) if one and two]
+    return [
+        (two.cpu - one.cpu) / span
+        for one, two in zip(before.brokers, after.brokers, strict=True)
+        if one and two
+    ]
 
 
 def broker_cost(before: Sample, after: Sample, alone: list[float], empty: list[int]) -> Cost:
     """The mean over real brokers. `alone`: their share of a core while no other member was there; `empty`: their memory
     then. What is over is control's."""
     span, count = after.at - before.at, len(alone)
-    pairs = [(one, two) for one, two in zip(before.brokers, after.brokers, strict=True) if one and two]
-    return Cost((sum(shares(before, after)) - sum(alone)) / count,
-                (sum(two.resident for _, two in pairs) - sum(empty)) / count,
-                sum(two.sent - one.sent for one, two in pairs) / span / count)
+    pairs = [
+        (one, two) for one, two in zip(before.brokers, after.brokers, strict=True) if one and two
+    ]
+    return Cost(
+        (sum(shares(before, after)) - sum(alone)) / count,
+        (sum(two.resident for _, two in pairs) - sum(empty)) / count,
+        sum(two.sent - one.sent for one, two in pairs) / span / count,
+    )
 
 
 def owner_rate(before: Sample, after: Sample) -> float:
     """Bytes of ownership that a simulated member sent a second, on the mean."""
     pairs = [(one, two) for one, two in zip(before.hosts, after.hosts, strict=True) if one and two]
     count = max(sum(two.running for _, two in pairs), 1)
-    return sum(two.owner_sent - one.owner_sent for one, two in pairs) / (after.at - before.at) / count
+    return (
+        sum(two.owner_sent - one.owner_sent for one, two in pairs) / (after.at - before.at) / count
+    )
 
 
 def member_cost(before: Sample, after: Sample, empty: list[int]) -> Cost:
@@ -137,6 +165,8 @@
     span = after.at - before.at
     pairs = [(one, two) for one, two in zip(before.hosts, after.hosts, strict=True) if one and two]
     count = max(sum(two.running for _, two in pairs), 1)
-    return Cost(sum(two.cpu - one.cpu for one, two in pairs) / span / count,
-                (sum(two.resident for _, two in pairs) - sum(empty)) / count,
-                sum(two.sent - one.sent for one, two in pairs) / span / count)
+    return Cost(
+        sum(two.cpu - one.cpu for one, two in pairs) / span / count,
+        (sum(two.resident for _, two in pairs) - sum(empty)) / count,
+        sum(two.sent - one.sent for one, two in pairs) / span / count,
+    )
--- a/stepknot/lab/scale_fleet.py
+++ b/stepknot/lab/scale_fleet.py
@@ -70,21 +70,47 @@
         draw = random.SystemRandom()
         host = f"127.{draw.randrange(1, 255)}.{draw.randrange(256)}.{draw.randrange(1, 255)}"
         ports = free_ports(4 * plan.real)
-        keys = {"period": f"{plan.period}s", "pause": f"{plan.pause}s", "tombstone": f"{plan.tombstone}s",
-                "rate": plan.member_rate}
-        brokers = [Broker(number, port, zone_of(number), admin, graph, peer, f"b{number}", peers=dict(keys))
-                   for number, (port, admin, graph, peer) in enumerate(zip(*[iter(ports)] * 4, strict=True))]
-        boxes = [Box(number, port, 0, number % CELLS, zone_of(number // CELLS), host=host)
-                 for number, port in enumerate(free_ports(plan.nodes, host))]
-        found = cls(plan.folder, brokers, boxes, plan.documents, CELLS, WORK * 1000, taps=True, scale=plan, host=host)
+        keys = {
+            "period": f"{plan.period}s",
+            "pause": f"{plan.pause}s",
+            "tombstone": f"{plan.tombstone}s",
+            "rate": plan.member_rate,
+        }
+        brokers = [
+            Broker(
+                number, port, zone_of(number), admin, graph, peer, f"b{number}", peers=dict(keys)
+            )
+            for number, (port, admin, graph, peer) in enumerate(
+                zip(*[iter(ports)] * 4, strict=True)
+            )
+        ]
+        boxes = [
+            Box(number, port, 0, number % CELLS, zone_of(number // CELLS), host=host)
+            for number, port in enumerate(free_ports(plan.nodes, host))
+        ]
+        found = cls(
+            plan.folder,
+            brokers,
+            boxes,
+            plan.documents,
+            CELLS,
+            WORK * 1000,
+            taps=True,
+            scale=plan,
+            host=host,
+        )
         for broker in brokers:
             broker.owners = owner_keys(plan, broker.name)
         seeds = chance(plan, "members")
         for zone in ZONES:
-            found.node_hosts += [NodesHost(f"nodes-{zone}{place}", zone, [boxes[each] for each in numbers])
-                                 for place, numbers in enumerate(plan.nodes_of(zone))]
-            found.member_hosts += [MembersProcess(f"members-{zone}{place}", zone, names, seeds.getrandbits(60))
-                                   for place, names in enumerate(plan.members_of(zone))]
+            found.node_hosts += [
+                NodesHost(f"nodes-{zone}{place}", zone, [boxes[each] for each in numbers])
+                for place, numbers in enumerate(plan.nodes_of(zone))
+            ]
+            found.member_hosts += [
+                MembersProcess(f"members-{zone}{place}", zone, names, seeds.getrandbits(60))
+                for place, names in enumerate(plan.members_of(zone))
+            ]
         return found
 
     # --- files
@@ -92,22 +118,48 @@
     def write_settings(self) -> None:
         for broker in self.brokers:
             text = settings_text(
-                name=broker.name, port=broker.port, admin=broker.admin, graph=broker.graph, zone=broker.zone,
-                peers=self.peers_text(broker), ownership=block_text("ownership", broker.owners),
-                instances=self.scale.size, cells=self.cells, shards=self.scale.shards, **self.settings)
+                name=broker.name,
+                port=broker.port,
+                admin=broker.admin,
+                graph=broker.graph,
+                zone=broker.zone,
+                peers=self.peers_text(broker),
+                ownership=block_text("ownership", broker.owners),
+                instances=self.scale.size,
+                cells=self.cells,
+                shards=self.scale.shards,
+                **self.settings,
+            )
             extra = self.scale.extra.replace("{name}", broker.name)
             (self.folder / f"broker-{broker.number}.hcl").write_text(f"{text}\n{extra}")
 
     def members_spec(self, host: MembersProcess) -> MembersSpec:
         plan = self.scale
-        return MembersSpec(self.host, host.names, [("127.0.0.1", each.peer) for each in self.brokers[:3]], plan.size,
-                           plan.period, plan.pause, plan.tombstone, plan.member_rate,
-                           plan.start_within, plan.voter_names, host.seed)
+        return MembersSpec(
+            self.host,
+            host.names,
+            [("127.0.0.1", each.peer) for each in self.brokers[:3]],
+            plan.size,
+            plan.period,
+            plan.pause,
+            plan.tombstone,
+            plan.member_rate,
+            plan.start_within,
+            plan.voter_names,
+            host.seed,
+        )
 
     def nodes_spec(self, host: NodesHost, cold: bool) -> NodesSpec:
         nodes = [NodeSpec(box.number, box.port, box.cell, box.zone) for box in host.boxes]
-        return NodesSpec(str(self.folder / "broker-0.hcl"), self.host, nodes, self.documents, WORK, cold,
-                         str(self.folder / f"box-{host.name}.tap"))
+        return NodesSpec(
+            str(self.folder / "broker-0.hcl"),
+            self.host,
+            nodes,
+            self.documents,
+            WORK,
+            cold,
+            str(self.folder / f"box-{host.name}.tap"),
+        )
 
     def spawn_host(self, name: str, module: str, spec: msgspec.Struct) -> Started:
         path = self.folder / f"{name}.json"
@@ -141,10 +193,14 @@
         for broker in self.brokers:
             if "state" in broker.owners:
                 folder = self.folder / broker.owners["state"]
-                shutil.rmtree(folder, ignore_errors=True)  # of an earlier run, of which nobody is left
+                shutil.rmtree(
+                    folder, ignore_errors=True
+                )  # of an earlier run, of which nobody is left
                 VoterStore(folder, DEFAULT.fleet, broker.name).found()
-        words(f"starting {len(self.boxes)} nodes in {len(self.node_hosts)} processes, {len(self.member_hosts)} "
-              f"processes for simulated members, {len(self.brokers)} brokers")
+        words(
+            f"starting {len(self.boxes)} nodes in {len(self.node_hosts)} processes, {len(self.member_hosts)} "
+            f"processes for simulated members, {len(self.brokers)} brokers"
+        )
         for nodes in self.node_hosts:
             self.start_nodes(nodes, cold=False)
         for members in self.member_hosts:
@@ -160,8 +216,11 @@
             read_ready(broker.process, broker.name)
 
     def processes(self) -> list[Started]:
-        found: list[Any] = [*(each.process for each in self.brokers), *(each.process for each in self.node_hosts),
-                            *(each.process for each in self.member_hosts)]
+        found: list[Any] = [
+            *(each.process for each in self.brokers),
+            *(each.process for each in self.node_hosts),
+            *(each.process for each in self.member_hosts),
+        ]
         return [each for each in found if each is not None]
 
     def stop(self) -> None:
@@ -180,7 +239,9 @@
     """Of a real broker's `ownership` block; none where there are no voters."""
     if not plan.voters:
         return {}
-    return {"voters": plan.voter_names} | ({"state": f"voter-{name}"} if name in plan.voter_names else {})
+    return {"voters": plan.voter_names} | (
+        {"state": f"voter-{name}"} if name in plan.voter_names else {}
+    )
 
 
 def end(process: Started, within: float) -> None:
@@ -204,5 +265,8 @@
             try:
                 fleet.stop()
                 break
-            except (KeyboardInterrupt, SystemExit):  # told again: the processes are ended first all the same
+            except (
+                KeyboardInterrupt,
+                SystemExit,
+            ):  # told again: the processes are ended first all the same
                 continue
