--- a/stepknot/lab/scale_members.py
+++ b/stepknot/lab/scale_members.py
@@ -49,8 +49,15 @@
     seed: int
 
     def settings(self) -> PeerSettings:
-        return PeerSettings(seeds=tuple(self.seeds), configured=self.configured, period=self.period, pause=self.pause,
-                            tombstone=self.tombstone, rate=float(self.rate), burst=8.0 * self.rate)
+        return PeerSettings(
+            seeds=tuple(self.seeds),
+            configured=self.configured,
+            period=self.period,
+            pause=self.pause,
+            tombstone=self.tombstone,
+            rate=float(self.rate),
+            burst=8.0 * self.rate,
+        )
 
 
 class MembersState(msgspec.Struct, frozen=True):
@@ -90,8 +97,13 @@
 
 
 class CutDatagrams(Datagrams):
-    def __init__(self, loop: Loop, sock: Any, on_datagram: Callable[[tuple[Any, ...], bytes], None],
-                 cuts: Cuts) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        sock: Any,
+        on_datagram: Callable[[tuple[Any, ...], bytes], None],
+        cuts: Cuts,
+    ) -> None:
         super().__init__(loop, sock, self.receive)
         self.cuts, self.take = cuts, on_datagram
         self.own: Address = (self.address[0], self.address[1])
@@ -112,7 +124,9 @@
         super().__init__(rng=random.Random(seed))
         self.cuts = Cuts()
 
-    def datagrams(self, host: str, port: int, on_datagram: Callable[[tuple[Any, ...], bytes], None]) -> Datagrams:
+    def datagrams(
+        self, host: str, port: int, on_datagram: Callable[[tuple[Any, ...], bytes], None]
+    ) -> Datagrams:
         return CutDatagrams(self, self.network.datagrams(host, port), on_datagram, self.cuts)
 
 
@@ -122,8 +136,14 @@
         self.members: dict[str, Peering] = {}
         self.owners: dict[str, SimulatedOwner] = {}
         self.deaths: Counter[str] = Counter()
-        self.control = Server(self.loop, "127.0.0.1", 0, self.on_control, HttpLimits(idle=600.0, first_byte=600.0),
-                              http_error)
+        self.control = Server(
+            self.loop,
+            "127.0.0.1",
+            0,
+            self.on_control,
+            HttpLimits(idle=600.0, first_byte=600.0),
+            http_error,
+        )
         self.parent = os.getppid()
         self.loop.call_later(PARENT_LOOK, self.look_for_parent)
 
@@ -134,7 +154,9 @@
 
     # --- control
 
-    def on_control(self, request: Request, connection: Connection) -> Generator[Park, Any, Response]:
+    def on_control(
+        self, request: Request, connection: Connection
+    ) -> Generator[Park, Any, Response]:
         yield from ()
         match request.path:
             case "/start":
@@ -145,23 +167,35 @@
             case "/cut":
                 self.loop.cuts.inside = set(msgspec.json.decode(request.body, type=Cut).inside)
             case "/state":
-                return Response(200, msgspec.json.encode(self.state(int(request.query.get("size", "0")))))
+                return Response(
+                    200, msgspec.json.encode(self.state(int(request.query.get("size", "0"))))
+                )
             case _:
                 return Response(404, b"{}")
         return Response(200, b"{}")
 
     def start(self) -> None:
         for name in self.spec.names:
-            self.loop.call_later(self.loop.rng.uniform(0, self.spec.start_within),
-                                 lambda name=name: self.start_member(name))  # type: ignore[misc]
+            self.loop.call_later(
+                self.loop.rng.uniform(0, self.spec.start_within),
+                lambda name=name: self.start_member(name),
+            )  # type: ignore[misc]
 
     def start_member(self, name: str) -> None:
         self.members[name] = Peering(
-            self.loop, Peers(name, (self.spec.host, 0), None, self.spec.settings()), self.loop.rng.getrandbits(62),
-            lambda count: None, self.log)
+            self.loop,
+            Peers(name, (self.spec.host, 0), None, self.spec.settings()),
+            self.loop.rng.getrandbits(62),
+            lambda count: None,
+            self.log,
+        )
         if self.spec.voters:
-            self.owners[name] = SimulatedOwner(self.loop, self.members[name], OwnerSettings(tuple(self.spec.voters)),
-                                               self.loop.rng.getrandbits(62))
+            self.owners[name] = SimulatedOwner(
+                self.loop,
+                self.members[name],
+                OwnerSettings(tuple(self.spec.voters)),
+                self.loop.rng.getrandbits(62),
+            )
 
     def log(self, event: str, **fields: Any) -> None:
         if event == "peer_changed" and fields["new"] == "dead":
@@ -175,14 +209,23 @@
         member.socket.close()
 
     def state(self, size: int) -> MembersState:
-        outside = [each for each in self.members.values() if own_address(each) not in self.loop.cuts.inside]
+        outside = [
+            each for each in self.members.values() if own_address(each) not in self.loop.cuts.inside
+        ]
         counters = [each.members.counters for each in self.members.values()]
         return MembersState(
-            len(self.members), len(outside), sum(holds(each, size) for each in outside),
+            len(self.members),
+            len(outside),
+            sum(holds(each, size) for each in outside),
             {name: own_address(each) for name, each in self.members.items()},
-            sum(each["bytes"] for each in counters), sum(each["kept back"] for each in counters),
-            time.process_time(), resident(os.getpid()), sum(each.sent for each in self.owners.values()),
-            [name for name, each in self.owners.items() if each.owns()], dict(self.deaths))
+            sum(each["bytes"] for each in counters),
+            sum(each["kept back"] for each in counters),
+            time.process_time(),
+            resident(os.getpid()),
+            sum(each.sent for each in self.owners.values()),
+            [name for name, each in self.owners.items() if each.owns()],
+            dict(self.deaths),
+        )
 
 
 def own_address(member: Peering) -> Address:
--- a/stepknot/lab/scale_model.py
+++ b/stepknot/lab/scale_model.py
@@ -66,15 +66,23 @@
 def outside_agree(model: Model, inside: set[str]) -> bool:
     """Whether all that are not cut off hold exactly each other alive."""
     names = {each.name for each in model.up()} - inside
-    return all({name for name, state in view.items() if state is State.ALIVE} == names
-               and State.SUSPECT not in view.values()
-               for who, view in model.views().items() if who not in inside)
+    return all(
+        {name for name, state in view.items() if state is State.ALIVE} == names
+        and State.SUSPECT not in view.values()
+        for who, view in model.views().items()
+        if who not in inside
+    )
 
 
 def play(spec: ModelSpec) -> ModelFigures:
     empty = resident(os.getpid())
-    settings = PeerSettings(period=spec.period, pause=spec.pause, tombstone=spec.tombstone, rate=float(spec.rate),
-                            burst=8.0 * spec.rate)
+    settings = PeerSettings(
+        period=spec.period,
+        pause=spec.pause,
+        tombstone=spec.tombstone,
+        rate=float(spec.rate),
+        burst=8.0 * spec.rate,
+    )
     model = Model(spec.brokers, spec.seed, settings)
     model.settings, model.epoch = replace(model.settings, configured=spec.size), EPOCH
     end, times = spec.seconds, {}
@@ -86,8 +94,11 @@
         return ModelFigures(None, Times(), 0, model.now)
     sent, cpu, begun = sum(each.sent for each in model.up()), time.process_time(), model.now
     model.run(begun + spec.calm)
-    cost = Cost((time.process_time() - cpu) / spec.calm / spec.size, (resident(os.getpid()) - empty) / spec.size,
-                (sum(each.sent for each in model.up()) - sent) / spec.calm / spec.size)
+    cost = Cost(
+        (time.process_time() - cpu) / spec.calm / spec.size,
+        (resident(os.getpid()) - empty) / spec.size,
+        (sum(each.sent for each in model.up()) - sent) / spec.calm / spec.size,
+    )
     deaths: set[str] = set()
     times |= troubles(model, spec, end, deaths)
     return ModelFigures(cost, Times(**times), len(deaths), model.now)
@@ -96,22 +107,31 @@
 def start(model: Model, names: list[str], spec: ModelSpec) -> None:
     for name in names:
         address = HOST, PORT + int(name[1:])
-        model.at(model.now + model.random.uniform(0, spec.start_within),
-                 lambda name=name, address=address: model.start(name, address))  # type: ignore[misc]
+        model.at(
+            model.now + model.random.uniform(0, spec.start_within),
+            lambda name=name, address=address: model.start(name, address),
+        )  # type: ignore[misc]
     model.run(model.now + spec.start_within)
 
 
-def troubles(model: Model, spec: ModelSpec, end: float, deaths: set[str]) -> dict[str, float | None]:
+def troubles(
+    model: Model, spec: ModelSpec, end: float, deaths: set[str]
+) -> dict[str, float | None]:
     """As the run has them. The first members stand for the real brokers; who is struck is drawn from the others."""
     times: dict[str, float | None] = {}
-    others = list(model.processes)[spec.brokers:]
+    others = list(model.processes)[spec.brokers :]
     picked = model.random.sample(others, spec.crashed + spec.zone)
-    crashed, zone = picked[:spec.crashed], picked[spec.crashed:]
+    crashed, zone = picked[: spec.crashed], picked[spec.crashed :]
     inside: set[str] = set()
 
     def note(struck: set[str], since: float) -> None:
-        deaths.update(change.name for when, _, change in model.log
-                      if when >= since and change.after is State.DEAD and change.name not in struck | set(crashed))
+        deaths.update(
+            change.name
+            for when, _, change in model.log
+            if when >= since
+            and change.after is State.DEAD
+            and change.name not in struck | set(crashed)
+        )
 
     for name in crashed:
         model.kill(name)
@@ -121,7 +141,10 @@
     model.run(model.now + spec.stalled)
     times["stall"] = until(model, model.settled, end)
     note(set(), since)
-    since, inside = model.now, set(model.random.sample([each for each in others if each not in crashed], spec.cut))
+    since, inside = (
+        model.now,
+        set(model.random.sample([each for each in others if each not in crashed], spec.cut)),
+    )
     model.network.cut = lambda source, target: (source in inside) != (target in inside)
     times["cut"] = until(model, lambda: outside_agree(model, inside), end)
     model.network.cut = lambda source, target: False
@@ -134,7 +157,11 @@
     start(model, zone, spec)
     times["zone_back"] = until(model, model.settled, end)
     restarts = [restart(model, f"b{number}", end) for number in range(spec.brokers)]
-    times["restart"] = None if None in restarts else max([each for each in restarts if each is not None], default=None)
+    times["restart"] = (
+        None
+        if None in restarts
+        else max([each for each in restarts if each is not None], default=None)
+    )
     note(set(zone), since)
     return times
 
@@ -147,4 +174,8 @@
 
 
 if __name__ == "__main__":
-    print(msgspec.json.encode(play(msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=ModelSpec))).decode())
+    print(
+        msgspec.json.encode(
+            play(msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=ModelSpec))
+        ).decode()
+    )
--- a/stepknot/lab/scale_nodes.py
+++ b/stepknot/lab/scale_nodes.py
@@ -51,8 +51,18 @@
 
 
 def plan_of(spec: NodesSpec, node: NodeSpec) -> BoxPlan:
-    return BoxPlan(spec.host, node.port, 0, node.cell, node.zone, spec.documents, spec.work, cold=spec.cold,
-                   seed=node.number, tap=Path(spec.tap))
+    return BoxPlan(
+        spec.host,
+        node.port,
+        0,
+        node.cell,
+        node.zone,
+        spec.documents,
+        spec.work,
+        cold=spec.cold,
+        seed=node.number,
+        tap=Path(spec.tap),
+    )
 
 
 def run(spec: NodesSpec) -> None:
--- a/stepknot/lab/scale_owners.py
+++ b/stepknot/lab/scale_owners.py
@@ -34,10 +34,19 @@
     def __init__(self, loop: Loop, member: Peering, settings: OwnerSettings, seed: int) -> None:
         self.loop, self.member = loop, member
         name = member.members.own.name
-        voter = Voter(name, settings, Saved(settings.fleet, name, FIRST_LIFE, {}, [])) if (
-            name in settings.voters) else None
-        self.node = Ownership((name, seed & (2**62 - 1)), settings, voter, {drains.JOB: Work(idle, refuse, apply)},
-                              seed, self.is_member)
+        voter = (
+            Voter(name, settings, Saved(settings.fleet, name, FIRST_LIFE, {}, []))
+            if (name in settings.voters)
+            else None
+        )
+        self.node = Ownership(
+            (name, seed & (2**62 - 1)),
+            settings,
+            voter,
+            {drains.JOB: Work(idle, refuse, apply)},
+            seed,
+            self.is_member,
+        )
         self.sent = 0  # bytes to others
         member.others[MARK] = self.on_datagram
         self.every = TICK * settings.lease
@@ -49,7 +58,9 @@
 
     def tick(self) -> None:
         here = self.member.members.table.here
-        self.node.tick(self.loop.clock(), [name for name, each in here.items() if each.state is State.ALIVE])
+        self.node.tick(
+            self.loop.clock(), [name for name, each in here.items() if each.state is State.ALIVE]
+        )
         self.carry()
         self.timer = self.loop.call_later(self.every, self.tick)
 
--- a/stepknot/lab/scale_plan.py
+++ b/stepknot/lab/scale_plan.py
@@ -17,7 +17,9 @@
 ZONES = "abc"
 REAL_VOTERS = 3
 CELLS = 4
-MEMBERS_A_PROCESS = 60  # simulated members on one loop: about a quarter of a core's time when nothing is wrong
+MEMBERS_A_PROCESS = (
+    60  # simulated members on one loop: about a quarter of a core's time when nothing is wrong
+)
 NODES_A_PROCESS = 20
 MEMORY_SHARE = 0.5  # of the machine's memory, that a run stays under
 
@@ -50,7 +52,9 @@
     pause: float = 5.0
     tombstone: float = 600.0
     start_within: float = 1.0  # over which the simulated members start
-    send_rate: int = 0  # bytes a second that a member may send; 0: the default, scaled to the period
+    send_rate: int = (
+        0  # bytes a second that a member may send; 0: the default, scaled to the period
+    )
     voters: int = 0  # of ownership: 3, 5 or 7, of them 3 real brokers; 0: there is no ownership
     extra: str = ""
 
@@ -60,7 +64,7 @@
         if not self.voters:
             return []
         kept = [f"m{number}" for number in range(self.members) if zone_of(number) != ZONES[-1]]
-        return [f"b{number}" for number in range(REAL_VOTERS)] + kept[:self.voters - REAL_VOTERS]
+        return [f"b{number}" for number in range(REAL_VOTERS)] + kept[: self.voters - REAL_VOTERS]
 
     @property
     def member_rate(self) -> int:
@@ -73,11 +77,17 @@
 
     def members_of(self, zone: str) -> list[list[str]]:
         """The simulated members of a zone, a list for each process."""
-        return chunks([f"m{number}" for number in range(self.members) if zone_of(number) == zone], MEMBERS_A_PROCESS)
+        return chunks(
+            [f"m{number}" for number in range(self.members) if zone_of(number) == zone],
+            MEMBERS_A_PROCESS,
+        )
 
     def nodes_of(self, zone: str) -> list[list[int]]:
         """The nodes of a zone, a list for each process: each cell's are spread over the zones."""
-        return chunks([number for number in range(self.nodes) if zone_of(number // CELLS) == zone], NODES_A_PROCESS)
+        return chunks(
+            [number for number in range(self.nodes) if zone_of(number // CELLS) == zone],
+            NODES_A_PROCESS,
+        )
 
 
 def zone_of(number: int) -> str:
@@ -85,7 +95,7 @@
 
 
 def chunks(items: Sequence[Item], most: int) -> list[list[Item]]:
-    return [list(items[begin:begin + most]) for begin in range(0, len(items), most)]
+    return [list(items[begin : begin + most]) for begin in range(0, len(items), most)]
 
 
 def chance(plan: ScalePlan, what: str) -> random.Random:
@@ -104,15 +114,23 @@
 
 def needs(plan: ScalePlan) -> Needs:
     processes = 1 + sum(len(plan.members_of(zone)) + len(plan.nodes_of(zone)) for zone in ZONES)
-    memory = (plan.real * (BROKER_BYTES + plan.size * RECORD_BYTES) + processes * PROCESS_BYTES
-              + plan.members * (MEMBER_BYTES + plan.size * RECORD_BYTES)
-              + plan.nodes * (NODE_BYTES + plan.documents // CELLS * DOCUMENT_BYTES))
+    memory = (
+        plan.real * (BROKER_BYTES + plan.size * RECORD_BYTES)
+        + processes * PROCESS_BYTES
+        + plan.members * (MEMBER_BYTES + plan.size * RECORD_BYTES)
+        + plan.nodes * (NODE_BYTES + plan.documents // CELLS * DOCUMENT_BYTES)
+    )
     cell = -(-plan.nodes // CELLS)
-    return Needs(memory, PROCESS_FILES + max(
-        min(plan.members, MEMBERS_A_PROCESS),
-        min(plan.nodes, NODES_A_PROCESS) * (NODE_FILES + CONNECTIONS * plan.real + 2 * cell),
-        CONNECTIONS * plan.nodes + int(plan.rate * CLIENT_SECONDS),  # a real broker; the clients
-    ))
+    return Needs(
+        memory,
+        PROCESS_FILES
+        + max(
+            min(plan.members, MEMBERS_A_PROCESS),
+            min(plan.nodes, NODES_A_PROCESS) * (NODE_FILES + CONNECTIONS * plan.real + 2 * cell),
+            CONNECTIONS * plan.nodes
+            + int(plan.rate * CLIENT_SECONDS),  # a real broker; the clients
+        ),
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,17 +140,23 @@
 
     @classmethod
     def here(cls) -> Machine:
-        return cls(os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES"),
-                   resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        return cls(
+            os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES"),
+            resource.getrlimit(resource.RLIMIT_NOFILE)[0],
+        )
 
 
 def refusal(plan: ScalePlan, machine: Machine) -> str:
     """Why the run may not start here; empty where it may."""
     needed, allowed = needs(plan), int(machine.memory * MEMORY_SHARE)
     if needed.memory > allowed:
-        return (f"not enough memory: {plan.size} members and {plan.nodes} nodes need about "
-                f"{needed.memory / 1e9:.2f} GB, and half of this machine's is {allowed / 1e9:.2f} GB")
+        return (
+            f"not enough memory: {plan.size} members and {plan.nodes} nodes need about "
+            f"{needed.memory / 1e9:.2f} GB, and half of this machine's is {allowed / 1e9:.2f} GB"
+        )
     if needed.descriptors > machine.descriptors:
-        return (f"not enough descriptors: a process of this run needs up to {needed.descriptors}, and RLIMIT_NOFILE "
-                f"is {machine.descriptors}")
+        return (
+            f"not enough descriptors: a process of this run needs up to {needed.descriptors}, and RLIMIT_NOFILE "
+            f"is {machine.descriptors}"
+        )
     return ""
--- a/stepknot/lab/scale_run.py
+++ b/stepknot/lab/scale_run.py
@@ -36,7 +36,14 @@
     read_broker,
     shares,
 )
-from stepknot.lab.scale_fleet import DEADLINE, MembersProcess, NodesHost, ScaleFleet, Started, running
+from stepknot.lab.scale_fleet import (
+    DEADLINE,
+    MembersProcess,
+    NodesHost,
+    ScaleFleet,
+    Started,
+    running,
+)
 from stepknot.lab.scale_members import Address, Crash, Cut, MembersState
 from stepknot.lab.scale_model import ModelFigures, ModelSpec
 from stepknot.lab.scale_plan import ZONES, ScalePlan, chance
@@ -47,8 +54,14 @@
 LOOK = 0.1  # seconds between two looks at whether views are right: how fine the times are
 FETCH_WITHIN = 2.0  # seconds for a process to answer such a look
 READY_LOOK = 0.05  # seconds between two looks whether a process is up or over
-ALONE, CALM = 8, 20  # periods for which the brokers alone, and the whole fleet in quiet, are measured
-CRASHED, CUT_OFF = 1 / 20, 1 / 8  # of the simulated members: too few together for a loss that is waited out twice
+ALONE, CALM = (
+    8,
+    20,
+)  # periods for which the brokers alone, and the whole fleet in quiet, are measured
+CRASHED, CUT_OFF = (
+    1 / 20,
+    1 / 8,
+)  # of the simulated members: too few together for a loss that is waited out twice
 STALLED = 0.6  # of the pause that membership bears
 COLD_TIME = 3.0  # seconds for which a node that came back is cold
 MODEL_WITHIN = 900.0  # seconds of this machine for the model
@@ -140,8 +153,18 @@
 
     def happen(self) -> Coroutine:
         self.end = self.begun + self.plan.seconds
-        for step in (self.brokers_alone, self.start_members, partial(self.wait_owner, "owner"), self.calm, self.crash,
-                     self.stall, self.cut, self.lose_zone, self.roll, partial(self.wait_owner, "owner_again")):
+        for step in (
+            self.brokers_alone,
+            self.start_members,
+            partial(self.wait_owner, "owner"),
+            self.calm,
+            self.crash,
+            self.stall,
+            self.cut,
+            self.lose_zone,
+            self.roll,
+            partial(self.wait_owner, "owner_again"),
+        ):
             if self.loop.clock() < self.end:
                 yield from step()
         self.until = self.loop.clock()
@@ -166,12 +189,18 @@
         body = yield from self.fetch(f"127.0.0.1:{broker.port}", "/metrics")
         return read_broker(process_id(broker.process), body.decode()) if body is not None else None
 
-    def host_state(self, host: MembersProcess, size: int) -> Generator[Park, Any, MembersState | None]:
+    def host_state(
+        self, host: MembersProcess, size: int
+    ) -> Generator[Park, Any, MembersState | None]:
         body = yield from self.fetch(host.address, f"/state?size={size}")
         return msgspec.json.decode(body, type=MembersState) if body is not None else None
 
     def hosts_up(self) -> list[MembersProcess]:
-        return [each for each in self.fleet.member_hosts if each.process is not None and each.process.poll() is None]
+        return [
+            each
+            for each in self.fleet.member_hosts
+            if each.process is not None and each.process.poll() is None
+        ]
 
     def sample(self, size: int) -> Generator[Park, Any, Sample]:
         """All are asked at once."""
@@ -191,7 +220,9 @@
             sample = yield from self.sample(self.size)
             if sample.whole:
                 return sample
-        raise RuntimeError("a broker, or a host of members, does not answer; its log in the run's folder says why")
+        raise RuntimeError(
+            "a broker, or a host of members, does not answer; its log in the run's folder says why"
+        )
 
     def settle(self, name: str, size: int) -> Coroutine:
         """Until all views hold exactly so many members, or the run's time is over; notes how long it took."""
@@ -203,14 +234,26 @@
                 break
             yield from self.loop.sleep(LOOK)
         self.measured.times[name] = found
-        self.words(f"{self.loop.clock() - self.begun:7.1f} s  {name:<10} "
-                   + (f"{found:.2f} s until {size} members are held" if found is not None else "not in time"))
-
-    def order(self, path: str, message: msgspec.Struct | None = None, hosts: list[MembersProcess] | None = None
-              ) -> Coroutine:
+        self.words(
+            f"{self.loop.clock() - self.begun:7.1f} s  {name:<10} "
+            + (
+                f"{found:.2f} s until {size} members are held"
+                if found is not None
+                else "not in time"
+            )
+        )
+
+    def order(
+        self,
+        path: str,
+        message: msgspec.Struct | None = None,
+        hosts: list[MembersProcess] | None = None,
+    ) -> Coroutine:
         for host in hosts if hosts is not None else self.hosts_up():
             if (yield from self.fetch(host.address, path, message)) is None:
-                raise RuntimeError(f"{host.name} does not answer; its log in the run's folder says why")
+                raise RuntimeError(
+                    f"{host.name} does not answer; its log in the run's folder says why"
+                )
 
     # --- the steps
 
@@ -240,7 +283,9 @@
             sample = yield from self.sample(self.size)
             if sample.owned():
                 self.measured.times[name] = sample.at - begun
-                self.words(f"{self.loop.clock() - self.begun:7.1f} s  {name:<10} {sample.at - begun:.2f} s")
+                self.words(
+                    f"{self.loop.clock() - self.begun:7.1f} s  {name:<10} {sample.at - begun:.2f} s"
+                )
                 return
             yield from self.loop.sleep(LOOK)
 
@@ -294,8 +339,13 @@
     def cut(self) -> Coroutine:
         before = yield from self.whole_sample()
         names = self.pick("cut", CUT_OFF)
-        inside: list[Address] = [address for host in before.hosts if host is not None
-                                 for name, address in host.addresses.items() if name in names]
+        inside: list[Address] = [
+            address
+            for host in before.hosts
+            if host is not None
+            for name, address in host.addresses.items()
+            if name in names
+        ]
         self.note_step("cut", names)
         yield from self.order("/cut", Cut(inside))
         yield from self.settle("cut", self.size - len(names))
@@ -372,8 +422,11 @@
     def note_deaths(self, before: Sample, struck: list[str]) -> Coroutine:
         """Whom any simulated member held dead since then, though it was there and not cut off."""
         now, then = (yield from self.sample(self.size)).deaths(), before.deaths()
-        self.measured.deaths |= {name for name, count in now.items() if count > then.get(name, 0)
-                                 and name not in struck and name not in self.crashed}
+        self.measured.deaths |= {
+            name
+            for name, count in now.items()
+            if count > then.get(name, 0) and name not in struck and name not in self.crashed
+        }
 
 
 def stood_still(sample: Sample) -> int:
@@ -418,24 +471,59 @@
 def result_of(run: ScaleRun, model: ModelFigures | None) -> Result:
     plan, found = run.plan, run.measured
     return Result(
-        real=plan.real, members=plan.members, nodes=plan.nodes, shards=plan.shards, voters=plan.voters, seed=plan.seed,
-        send_rate=plan.member_rate, start_within=plan.start_within, seconds=run.until - run.begun,
-        alone=sum(run.alone) / plan.real, broker=found.broker, member=found.member, owner_sent=found.owner_sent,
-        model=model, times=Times(**found.times), false_deaths=len(found.deaths), stood_still=found.stood_still,
-        not_reached=[name for name in Times.__struct_fields__
-                     if found.times.get(name) is None and (plan.voters or name not in OWNERS)],
+        real=plan.real,
+        members=plan.members,
+        nodes=plan.nodes,
+        shards=plan.shards,
+        voters=plan.voters,
+        seed=plan.seed,
+        send_rate=plan.member_rate,
+        start_within=plan.start_within,
+        seconds=run.until - run.begun,
+        alone=sum(run.alone) / plan.real,
+        broker=found.broker,
+        member=found.member,
+        owner_sent=found.owner_sent,
+        model=model,
+        times=Times(**found.times),
+        false_deaths=len(found.deaths),
+        stood_still=found.stood_still,
+        not_reached=[
+            name
+            for name in Times.__struct_fields__
+            if found.times.get(name) is None and (plan.voters or name not in OWNERS)
+        ],
         answers=dict(run.counts),
-        rules=[msgspec.convert(each.body(), Rule) for each in audit(Records.load(plan.folder))])
+        rules=[msgspec.convert(each.body(), Rule) for each in audit(Records.load(plan.folder))],
+    )
 
 
 def run_model(plan: ScalePlan, struck: Counter[str], words: Callable[[str], None]) -> ModelFigures:
     """In a process of its own. `struck`: how many members each trouble took in the run."""
     words(f"the model with {plan.size} members")
-    spec = ModelSpec(plan.size, plan.seed, plan.period, plan.pause, plan.tombstone, plan.member_rate, plan.seconds,
-                     plan.real, ALONE * plan.period, plan.start_within, CALM * plan.period, struck["crash"],
-                     STALLED * plan.pause, struck["cut"], struck["zone"])
+    spec = ModelSpec(
+        plan.size,
+        plan.seed,
+        plan.period,
+        plan.pause,
+        plan.tombstone,
+        plan.member_rate,
+        plan.seconds,
+        plan.real,
+        ALONE * plan.period,
+        plan.start_within,
+        CALM * plan.period,
+        struck["crash"],
+        STALLED * plan.pause,
+        struck["cut"],
+        struck["zone"],
+    )
     path = plan.folder / "model.json"
     path.write_bytes(msgspec.json.encode(spec))
-    found = subprocess.run([sys.executable, "-m", "stepknot.lab.scale_model", str(path)], stdout=subprocess.PIPE,
-                           check=True, timeout=MODEL_WITHIN)
+    found = subprocess.run(
+        [sys.executable, "-m", "stepknot.lab.scale_model", str(path)],
+        stdout=subprocess.PIPE,
+        check=True,
+        timeout=MODEL_WITHIN,
+    )
     return msgspec.json.decode(found.stdout, type=ModelFigures)
--- a/stepknot/lab/script.py
+++ b/stepknot/lab/script.py
@@ -24,9 +24,33 @@
 from stepknot.config.hcl import ConfigError, Problem, parse
 from stepknot.config.readers import Bad, Checker, Key, count, duration, number, text
 
-BOX_FAULTS = ("hang", "fail_fast", "slow", "pause", "reset", "cut", "garbage", "lost", "refuse", "huge", "deaf")
-DOINGS = ("crash", "drain", "kill_broker", "stall_broker", "list_late", "burst", "impatient", "hot_key", "flood",
-          "part_peers", "lose_peers", *BOX_FAULTS)
+BOX_FAULTS = (
+    "hang",
+    "fail_fast",
+    "slow",
+    "pause",
+    "reset",
+    "cut",
+    "garbage",
+    "lost",
+    "refuse",
+    "huge",
+    "deaf",
+)
+DOINGS = (
+    "crash",
+    "drain",
+    "kill_broker",
+    "stall_broker",
+    "list_late",
+    "burst",
+    "impatient",
+    "hot_key",
+    "flood",
+    "part_peers",
+    "lose_peers",
+    *BOX_FAULTS,
+)
 SECONDS, RATE = 30.0, 40.0
 
 
@@ -43,9 +67,16 @@
     return str(value)
 
 
-STEP = {"at": Key(moment), "do": Key(doing), "boxes": Key(count(1, 1000), 1), "for": Key(moment, -0.08),
-        "share": Key(number(0, 1), 1.0), "factor": Key(number(0), 2.0), "broker": Key(count(0, 1000), -1),
-        "zone": Key(text, "")}
+STEP = {
+    "at": Key(moment),
+    "do": Key(doing),
+    "boxes": Key(count(1, 1000), 1),
+    "for": Key(moment, -0.08),
+    "share": Key(number(0, 1), 1.0),
+    "factor": Key(number(0), 2.0),
+    "broker": Key(count(0, 1000), -1),
+    "zone": Key(text, ""),
+}
 DAY = {"seconds": Key(duration, SECONDS), "rate": Key(number(0.1, 10_000), RATE)}
 
 
@@ -72,8 +103,19 @@
     def real(value: float) -> float:
         return -value * seconds if value < 0 else value
 
-    steps = [Step(real(row["at"]), row["do"], row.get("boxes", 1), real(row.get("for", -0.08)), row.get("share", 1.0),
-                  row.get("factor", 2.0), row.get("broker", -1), row.get("zone", "")) for row in rows]
+    steps = [
+        Step(
+            real(row["at"]),
+            row["do"],
+            row.get("boxes", 1),
+            real(row.get("for", -0.08)),
+            row.get("share", 1.0),
+            row.get("factor", 2.0),
+            row.get("broker", -1),
+            row.get("zone", ""),
+        )
+        for row in rows
+    ]
     return Script(seconds, rate, tuple(sorted(steps, key=lambda each: each.at)))
 
 
@@ -94,18 +136,22 @@
 BUILT_IN: list[dict[str, Any]] = [
     {"at": -0.06, "do": "slow", "boxes": 2, "factor": 5.0},
     {"at": -0.14, "do": "crash", "boxes": 3, "for": -0.10},
-    {"at": -0.20, "do": "flood", "factor": 150.0, "for": -0.14}, {"at": -0.30, "do": "hang", "boxes": 2},
+    {"at": -0.20, "do": "flood", "factor": 150.0, "for": -0.14},
+    {"at": -0.30, "do": "hang", "boxes": 2},
     {"at": -0.36, "do": "impatient", "for": -0.5},
     {"at": -0.38, "do": "kill_broker", "for": -0.05},
     {"at": -0.46, "do": "fail_fast", "boxes": 2, "share": 0.7},
     {"at": -0.50, "do": "drain", "boxes": 2, "for": -0.10},
-    {"at": -0.60, "do": "cut", "share": 0.3}, {"at": -0.60, "do": "garbage", "share": 0.3},
-    {"at": -0.62, "do": "reset", "share": 0.5}, {"at": -0.68, "do": "lost", "boxes": 2, "share": 0.4},
+    {"at": -0.60, "do": "cut", "share": 0.3},
+    {"at": -0.60, "do": "garbage", "share": 0.3},
+    {"at": -0.62, "do": "reset", "share": 0.5},
+    {"at": -0.68, "do": "lost", "boxes": 2, "share": 0.4},
     {"at": -0.74, "do": "pause", "boxes": 2, "for": -0.04},
     {"at": -0.78, "do": "stall_broker", "for": -0.05},
     {"at": -0.84, "do": "refuse", "boxes": 2, "for": -0.05},
     {"at": -0.86, "do": "fail_fast", "boxes": 4, "share": 0.6, "broker": 0},
-    {"at": -0.90, "do": "burst", "factor": 2.0, "for": -0.08}, {"at": -0.92, "do": "huge", "factor": 2e6},
+    {"at": -0.90, "do": "burst", "factor": 2.0, "for": -0.08},
+    {"at": -0.92, "do": "huge", "factor": 2e6},
 ]
 
 
@@ -116,18 +162,26 @@
 # The bench's kinds of trouble as steps here, scaled down. Those that need what the stand-ins do not model
 # (slow handshakes, connections dropped unseen, queries of heavy work, messages between brokers) are told and left out.
 BENCH_KINDS: dict[str, list[dict[str, Any]]] = {
-    "burst": [{"do": "burst", "factor": 1.8}], "shared_slow": [{"do": "slow", "boxes": 1000, "factor": 1.6}],
-    "hang": [{"do": "hang", "boxes": 2}], "crash": [{"do": "crash", "boxes": 3}],
-    "balancer_crash": [{"do": "kill_broker"}], "balancer_roll": [{"do": "kill_broker"}],
+    "burst": [{"do": "burst", "factor": 1.8}],
+    "shared_slow": [{"do": "slow", "boxes": 1000, "factor": 1.6}],
+    "hang": [{"do": "hang", "boxes": 2}],
+    "crash": [{"do": "crash", "boxes": 3}],
+    "balancer_crash": [{"do": "kill_broker"}],
+    "balancer_roll": [{"do": "kill_broker"}],
     "balancer_stall": [{"do": "stall_broker", "for": -0.04}],
     "one_sided": [{"do": "fail_fast", "boxes": 4, "share": 0.6, "broker": 0}],
     "slow_link": [{"do": "slow", "boxes": 1000, "zone": "b", "factor": 8.0}],
     "zone_cut": [{"do": "refuse", "boxes": 1000, "zone": "b"}],
-    "fast_errors": [{"do": "fail_fast", "boxes": 2, "share": 0.7}], "retry_abuse": [{"do": "impatient"}],
-    "deploy": [{"do": "drain", "boxes": 3}], "slow": [{"do": "slow", "boxes": 2, "factor": 5.0}],
-    "answer_lost": [{"do": "lost", "boxes": 3, "share": 0.3}], "preempt": [{"do": "drain", "boxes": 1}],
-    "discovery_down": [{"do": "list_late"}], "discovery_stale": [{"do": "list_late"}],
-    "hot_key": [{"do": "hot_key"}], "ageing": [{"do": "slow", "factor": 6.0}, {"do": "crash"}],
+    "fast_errors": [{"do": "fail_fast", "boxes": 2, "share": 0.7}],
+    "retry_abuse": [{"do": "impatient"}],
+    "deploy": [{"do": "drain", "boxes": 3}],
+    "slow": [{"do": "slow", "boxes": 2, "factor": 5.0}],
+    "answer_lost": [{"do": "lost", "boxes": 3, "share": 0.3}],
+    "preempt": [{"do": "drain", "boxes": 1}],
+    "discovery_down": [{"do": "list_late"}],
+    "discovery_stale": [{"do": "list_late"}],
+    "hot_key": [{"do": "hot_key"}],
+    "ageing": [{"do": "slow", "factor": 6.0}, {"do": "crash"}],
 }
 
 
--- a/stepknot/lab/slopes.py
+++ b/stepknot/lab/slopes.py
@@ -95,8 +95,9 @@
     if len(set(xs)) < 2:
         raise ValueError("a line needs two different sizes")
     x_mean, y_mean = statistics.fmean(xs), statistics.fmean(ys)
-    slope = (sum((x - x_mean) * (y - y_mean) for x, y in zip(xs, ys, strict=True))
-             / sum((x - x_mean) ** 2 for x in xs))
+    slope = sum((x - x_mean) * (y - y_mean) for x, y in zip(xs, ys, strict=True)) / sum(
+        (x - x_mean) ** 2 for x in xs
+    )
     return y_mean - slope * x_mean, slope
 
 
@@ -107,7 +108,7 @@
     errors = [y - intercept - slope * x for x, y in zip(xs, ys, strict=True)]
     y_mean = statistics.fmean(ys)
     total = sum((y - y_mean) ** 2 for y in ys)
-    r2 = 1 - sum(error ** 2 for error in errors) / total if total else 1.0
+    r2 = 1 - sum(error**2 for error in errors) / total if total else 1.0
     misfit = max((abs(error / y) for error, y in zip(errors, ys, strict=True) if y), default=0.0)
     return Fit(intercept, slope, r2, misfit, power_of(xs, ys), slopes_of(points), min(xs), max(xs))
 
@@ -126,5 +127,7 @@
     for repeat in range(max(len(point.values) for point in points)):
         there = [point for point in points if repeat < len(point.values)]
         if len({point.x for point in there}) > 1:
-            found.append(line([point.x for point in there], [point.values[repeat] for point in there])[1])
+            found.append(
+                line([point.x for point in there], [point.values[repeat] for point in there])[1]
+            )
     return spread(found)
--- a/stepknot/lab/subset_baselines.py
+++ b/stepknot/lab/subset_baselines.py
@@ -37,7 +37,7 @@
     shuffled = list(names)
     random.Random(broker // subsets).shuffle(shuffled)
     start = broker % subsets * size
-    return frozenset(shuffled[start:start + size])
+    return frozenset(shuffled[start : start + size])
 
 
 def aperture(broker: int, brokers: int, names: Sequence[str], size: int) -> frozenset[str]:
@@ -45,7 +45,9 @@
     that they hold `size` nodes or more."""
     width = math.ceil(min(size, len(names)) / len(names) * brokers) / brokers
     begin, end = broker / brokers * len(names), (broker / brokers + width) * len(names)
-    return frozenset(names[place % len(names)] for place in range(math.floor(begin), math.ceil(end - 1e-9)))
+    return frozenset(
+        names[place % len(names)] for place in range(math.floor(begin), math.ceil(end - 1e-9))
+    )
 
 
 @lru_cache(maxsize=4)
@@ -92,7 +94,12 @@
 
 
 WAYS: dict[str, Way] = {
-    "whole list": whole, "random, by a seed": by_chance, "rounds": rounds, "aperture": aperture,
-    "bounded loads": bounded_loads, "low discrepancy": low_discrepancy, "rendezvous": rendezvous,
+    "whole list": whole,
+    "random, by a seed": by_chance,
+    "rounds": rounds,
+    "aperture": aperture,
+    "bounded loads": bounded_loads,
+    "low discrepancy": low_discrepancy,
+    "rendezvous": rendezvous,
 }
 NUMBERED = {"rounds", "aperture", "low discrepancy"}  # brokers without a gap between their numbers
--- a/stepknot/lab/subset_cost.py
+++ b/stepknot/lab/subset_cost.py
@@ -61,10 +61,24 @@
     "all": QueryClass("all", AIM, DEADLINE, worth=1.0, late_value=0.3),
     "some": QueryClass("some", AIM, DEADLINE, worth=1.0, floor=0.5, partial_value=0.9),
 }
-RULES = Rules(drain_grace=0.5, cold_share=0.2, cold_time=3.0, fall_multiple=3.0, fall_time=1.0,
-              extra_window=1.0, extra_floor=2.0, extra_share=0.1)
-LIMITS = Limits(max_attempts=3, cancelling=True, probing=True, second_copies=True, retry_after=True,
-                max_retry_after=1.0)
+RULES = Rules(
+    drain_grace=0.5,
+    cold_share=0.2,
+    cold_time=3.0,
+    fall_multiple=3.0,
+    fall_time=1.0,
+    extra_window=1.0,
+    extra_floor=2.0,
+    extra_share=0.1,
+)
+LIMITS = Limits(
+    max_attempts=3,
+    cancelling=True,
+    probing=True,
+    second_copies=True,
+    retry_after=True,
+    max_retry_after=1.0,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,7 +115,9 @@
     """Times count from the end of the warm-up. Zones are told by number, and the first broker is in the first zone."""
 
     burst: tuple[float, float, float] = (0.0, 0.0, 1.0)  # from, to, times the rate
-    heavy_every: int = 0  # one broker in so many, at least one, gets HEAVY times the mean; of several zones
+    heavy_every: int = (
+        0  # one broker in so many, at least one, gets HEAVY times the mean; of several zones
+    )
     heavy_zone: float = 1.0  # brokers of the first zone get so many times the mean
     slow_every: int = 0  # one node in so many is SLOW times slower
     lost: tuple[float, float] | None = None  # the second zone's nodes go, and are back cold
@@ -216,7 +232,9 @@
 
     def able(self) -> float:
         """The share of its capacity that it has now."""
-        passed = (self.world.now - self.entry.up_since) / RULES.cold_time if self.entry.up_since else 1.0
+        passed = (
+            (self.world.now - self.entry.up_since) / RULES.cold_time if self.entry.up_since else 1.0
+        )
         return min(RULES.cold_share + (1 - RULES.cold_share) * passed, 1.0)
 
     def receive(self, job: Job) -> None:
@@ -293,14 +311,23 @@
         self.world, self.number, self.rate = world, number, rate
         self.zone = number % fleet.zones
         self.chance = random.Random(f"{seed} queries of {number}")
-        self.module = Aggregator(world.settings, random.Random(f"{seed} module of {number}").getrandbits(60))
+        self.module = Aggregator(
+            world.settings, random.Random(f"{seed} module of {number}").getrandbits(60)
+        )
         self.subset = self.make_subset(f"b{number}")
         self.jobs: dict[tuple[int, int], Job] = {}
-        self.barred: dict[str, float] = {}  # nodes that were told to be draining or gone, since when
+        self.barred: dict[
+            str, float
+        ] = {}  # nodes that were told to be draining or gone, since when
         self.wake = 0.0
         self.carriers: dict[type, Callable[[Any], None]] = {
-            Send: self.send, Cancel: self.cancel, Probe: self.probe, SetTimer: self.set_timer,
-            Answer: self.answer, Refuse: self.refuse, Fail: self.fail,
+            Send: self.send,
+            Cancel: self.cancel,
+            Probe: self.probe,
+            SetTimer: self.set_timer,
+            Answer: self.answer,
+            Refuse: self.refuse,
+            Fail: self.fail,
         }
 
     def make_subset(self, identity: str) -> Subset | None:
@@ -308,7 +335,9 @@
         if not variant.size:
             return None
         # A mean of one broker a node asks for less than `size` of any shard: exactly `size` holds.
-        settings = SubsetSettings(identity, variant.size, holders=1.0, near=variant.near, zone=f"z{self.zone}")
+        settings = SubsetSettings(
+            identity, variant.size, holders=1.0, near=variant.near, zone=f"z{self.zone}"
+        )
         return Subset(settings, SubsetShape(fleet.shards, 1, RULES.cold_time), fleet.brokers)
 
     def delay(self, node: Node) -> float:
@@ -326,7 +355,9 @@
 
     def carry_out(self, action: Action) -> None:
         carrier = self.carriers.get(type(action))
-        if carrier is not None:  # Close and Watch: there are no connections, and all changes are told
+        if (
+            carrier is not None
+        ):  # Close and Watch: there are no connections, and all changes are told
             carrier(action)
 
     def take_list(self, event: ListReceived) -> None:
@@ -366,7 +397,9 @@
         world = self.world
         query = Query(kind, world.now, world.now >= world.begin, len(shards))
         query_id = world.add_query(query)
-        events: list[Event] = [QueryArrived(query_id, query_id, kind.name, world.now + kind.deadline)]
+        events: list[Event] = [
+            QueryArrived(query_id, query_id, kind.name, world.now + kind.deadline)
+        ]
         for shard, each in zip(shards, work, strict=True):
             part_id = world.add_part(Part(query, each))
             events.append(PartArrived(part_id, query_id, shard, 1 / len(shards)))
@@ -382,7 +415,11 @@
             part.served = True
             part.query.served += 1
         elapsed = self.world.now - job.sent
-        self.feed(AttemptEnded(job.part_id, job.attempt, job.node.entry.server, outcome, elapsed, load=load))
+        self.feed(
+            AttemptEnded(
+                job.part_id, job.attempt, job.node.entry.server, outcome, elapsed, load=load
+            )
+        )
 
     def time_out(self, job: Job) -> None:
         if not job.over:
@@ -434,7 +471,9 @@
     def answer(self, action: Answer) -> None:
         world, query = self.world, self.world.queries[action.query_id]
         if action.whole and query.served < query.parts:
-            raise ModelError(f"query {action.query_id}: answered as whole with {query.served} of {query.parts} parts")
+            raise ModelError(
+                f"query {action.query_id}: answered as whole with {query.served} of {query.parts} parts"
+            )
         if self.final(query):
             took = world.now - query.arrived
             world.counts.answered += 1
@@ -442,7 +481,9 @@
             in_time = took <= query.kind.aim
             world.counts.whole_in_time += in_time and action.whole
             share = 1.0 if action.whole else query.kind.partial_value * query.served / query.parts
-            world.counts.worth += query.kind.worth * share * (1.0 if in_time else query.kind.late_value)
+            world.counts.worth += (
+                query.kind.worth * share * (1.0 if in_time else query.kind.late_value)
+            )
 
     def refuse(self, action: Refuse) -> None:
         self.world.counts.refused += self.final(self.world.queries[action.query_id])
@@ -459,10 +500,14 @@
 class World:
     """The clock, the nodes and the brokers of one run."""
 
-    def __init__(self, scenario: str, variant: Variant, seed: int, fleet: Fleet | None = None) -> None:
+    def __init__(
+        self, scenario: str, variant: Variant, seed: int, fleet: Fleet | None = None
+    ) -> None:
         self.fleet, self.variant, self.seed = fleet or Fleet(), variant, seed
         self.scenario = SCENARIOS[scenario]
-        self.settings = Settings(self.fleet.brokers, self.fleet.shards, 1, 1, CLASSES, RULES, LIMITS)
+        self.settings = Settings(
+            self.fleet.brokers, self.fleet.shards, 1, 1, CLASSES, RULES, LIMITS
+        )
         self.now, self.begin = BEGAN, BEGAN + WARM_UP
         self.end = self.begin + self.fleet.seconds
         self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
@@ -473,7 +518,10 @@
         self.parts: dict[int, Part] = {}
         self.peak = max(self.scenario.burst[2], 1.0)
         self.nodes = self.make_nodes()
-        self.brokers = [Broker(self, number, self.fleet.rate * share) for number, share in enumerate(self.shares())]
+        self.brokers = [
+            Broker(self, number, self.fleet.rate * share)
+            for number, share in enumerate(self.shares())
+        ]
         self.start()
 
     def make_nodes(self) -> dict[str, Node]:
@@ -481,7 +529,9 @@
         found = {}
         for number in range(fleet.shards * fleet.replicas):
             shard, replica = divmod(number, fleet.replicas)
-            entry = ServerEntry(f"n{shard}-{replica}", f"z{replica % fleet.zones}", shard, ServerState.LIVE)
+            entry = ServerEntry(
+                f"n{shard}-{replica}", f"z{replica % fleet.zones}", shard, ServerState.LIVE
+            )
             # Shifted from shard to shard, so that slow ones, and those that hang once lost, are in all zones.
             slow = SLOW if slow_every and (replica + shard) % slow_every == 0 else 1.0
             found[entry.server] = Node(self, entry, slow, hangs=replica // fleet.zones % 2 == 0)
@@ -496,7 +546,9 @@
             favoured, times = range(0, count, count // heavy + 1), HEAVY
         other = (count - times * len(favoured)) / (count - len(favoured))
         if other <= 0:
-            raise ValueError(f"{count} brokers are too few for {len(favoured)} with {times:g} times the mean")
+            raise ValueError(
+                f"{count} brokers are too few for {len(favoured)} with {times:g} times the mean"
+            )
         return [(times if number in favoured else other) / count for number in range(count)]
 
     def start(self) -> None:
@@ -590,8 +642,15 @@
         zone = max(sum(each) / len(each) for each in zones.values())
         by_thousandth = statistics.quantiles(self.latencies, n=1000, method="inclusive")
         p50, p99, p999 = by_thousandth[499], by_thousandth[989], by_thousandth[998]
-        return Found(self.counts, p50, p99, p999, max(node.busy for node in nodes) / mean, zone / mean,
-                     self.cpu / max(len(self.parts), 1))
+        return Found(
+            self.counts,
+            p50,
+            p99,
+            p999,
+            max(node.busy for node in nodes) / mean,
+            zone / mean,
+            self.cpu / max(len(self.parts), 1),
+        )
 
 
 def play(scenario: str, variant: Variant, seed: int, fleet: Fleet | None = None) -> Found:
--- a/stepknot/lab/subset_model.py
+++ b/stepknot/lab/subset_model.py
@@ -12,7 +12,13 @@
 
 from stepknot.interface import ListKind, ListReceived, ServerEntry, ServerState
 from stepknot.subsets.cold import cold_share
-from stepknot.subsets.model import DEFAULT_HOLDERS, DEFAULT_NEAR, DEFAULT_SIZE, Shape, SubsetSettings
+from stepknot.subsets.model import (
+    DEFAULT_HOLDERS,
+    DEFAULT_NEAR,
+    DEFAULT_SIZE,
+    Shape,
+    SubsetSettings,
+)
 from stepknot.subsets.subset import Subset
 
 NOW = 1000.0
@@ -44,19 +50,29 @@
         found = []
         for place in range(self.replicas):
             number = cell * self.replicas + place
-            found.append(ServerEntry(f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:9300",
-                                     f"zone-{number % zones}", cell, ServerState.LIVE,
-                                     self.sizes[number // zones % len(self.sizes)]))
+            found.append(
+                ServerEntry(
+                    f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:9300",
+                    f"zone-{number % zones}",
+                    cell,
+                    ServerState.LIVE,
+                    self.sizes[number // zones % len(self.sizes)],
+                )
+            )
         return found
 
     def settings(self, broker: int, zone: int) -> SubsetSettings:
         region = next(each for each in self.regions if zone in each)
         tiers = (tuple(f"zone-{each}" for each in region if each != zone),)
-        return SubsetSettings(f"broker-{broker}", self.size, self.holders, self.near, f"zone-{zone}", tiers)
+        return SubsetSettings(
+            f"broker-{broker}", self.size, self.holders, self.near, f"zone-{zone}", tiers
+        )
 
     def subsets(self, cell: int, entries: Iterable[ServerEntry] | None = None) -> list[Subset]:
         """Each broker's, with this cell's nodes alone on its list."""
-        event = ListReceived(ListKind.FULL, tuple(self.entries(cell) if entries is None else entries))
+        event = ListReceived(
+            ListKind.FULL, tuple(self.entries(cell) if entries is None else entries)
+        )
         found = []
         for broker, zone in enumerate(self.broker_zones()):
             subset = Subset(self.settings(broker, zone), Shape(self.cells, 1, 10.0), self.brokers)
@@ -70,8 +86,15 @@
 
 
 def views(subsets: Iterable[Subset]) -> Views:
-    return [frozenset(server for cell in subset.index.cells.values() for server, entry in cell.held.items()
-                      if entry.state is ServerState.LIVE) for subset in subsets]
+    return [
+        frozenset(
+            server
+            for cell in subset.index.cells.values()
+            for server, entry in cell.held.items()
+            if entry.state is ServerState.LIVE
+        )
+        for subset in subsets
+    ]
 
 
 def changed(before: Views, after: Views) -> int:
@@ -115,7 +138,9 @@
     survivors: list[float] = field(default_factory=list)  # of brokers that live on too
 
 
-def tell(subsets: Iterable[Subset], entries: Iterable[ServerEntry], kind: ListKind = ListKind.CHANGES) -> None:
+def tell(
+    subsets: Iterable[Subset], entries: Iterable[ServerEntry], kind: ListKind = ListKind.CHANGES
+) -> None:
     event = ListReceived(kind, tuple(entries))
     for subset in subsets:
         subset.take(event)
@@ -128,8 +153,16 @@
         subset.finish(NOW)
 
 
-ONE_GOES, ONE_BACK, ONE_REPLACED = "a node goes", "it comes back", "a node is replaced by one of another name"
-ZONE_GOES, ZONE_BACK, TWO_UNKNOWN = "a zone's nodes go", "they come back", "two nodes of each 62 are not on a list"
+ONE_GOES, ONE_BACK, ONE_REPLACED = (
+    "a node goes",
+    "it comes back",
+    "a node is replaced by one of another name",
+)
+ZONE_GOES, ZONE_BACK, TWO_UNKNOWN = (
+    "a zone's nodes go",
+    "they come back",
+    "two nodes of each 62 are not on a list",
+)
 OF_ONE_CELL = {ONE_GOES, ONE_BACK, ONE_REPLACED}
 
 
@@ -144,7 +177,13 @@
     yield ONE_REPLACED
     tell(subsets, [replace(other, state=ServerState.GONE), one])
     yield ""
-    for brokers in (fleet.brokers - 1, fleet.brokers + 1, fleet.brokers // 2, fleet.brokers // 2 - 1, fleet.brokers):
+    for brokers in (
+        fleet.brokers - 1,
+        fleet.brokers + 1,
+        fleet.brokers // 2,
+        fleet.brokers // 2 - 1,
+        fleet.brokers,
+    ):
         count(subsets, brokers)
         yield f"the count of brokers becomes {brokers:,}"
     lost = [entry for entry in entries if entry.zone == "zone-0"]
@@ -185,14 +224,23 @@
 
 def cold_sums(subsets: list[Subset], servers: Iterable[str]) -> Cold:
     found = Cold()
-    cells = [(subset, cell, cold_share(cell.quota, cell.live, subset.instances))
-             for subset in subsets for cell in subset.index.cells.values()]
+    cells = [
+        (subset, cell, cold_share(cell.quota, cell.live, subset.instances))
+        for subset in subsets
+        for cell in subset.index.cells.values()
+    ]
     for server in servers:
         used = [cell.held[server] for _, cell, _ in cells if server in cell.held]
         found.used.append(sum(1 / entry.sharers for entry in used))
         found.by_all.append(len(used) / len(subsets))
-        found.may.append(sum(1 / share.divisor for subset, _, share in cells if subset.index.get(server) is not None
-                             and share.may_send(subset.index.drawn(server))))
+        found.may.append(
+            sum(
+                1 / share.divisor
+                for subset, _, share in cells
+                if subset.index.get(server) is not None
+                and share.may_send(subset.index.drawn(server))
+            )
+        )
     return found
 
 
--- a/stepknot/lab/tap.py
+++ b/stepknot/lab/tap.py
@@ -20,7 +20,10 @@
 
     def note(self, what: str, **fields: Any) -> None:
         if self.file is not None:
-            self.file.write(orjson.dumps({"t": time.monotonic(), "who": self.who, "what": what, **fields}) + b"\n")
+            self.file.write(
+                orjson.dumps({"t": time.monotonic(), "who": self.who, "what": what, **fields})
+                + b"\n"
+            )
 
 
 def read(path: Path) -> list[dict[str, Any]]:
--- a/stepknot/logic.py
+++ b/stepknot/logic.py
@@ -16,9 +16,32 @@
 from typing import Any
 
 from stepknot.interface import (
-    Action, Answer, AttemptEnded, Cancel, Close, Effect, Event, Fail, InstancesCounted, ListKind,
-    ListReceived, Narrow, Outcome, PartArrived, Probe, ProbeEnded, QueryArrived, QueryGone, Refuse, Send,
-    ServerEntry, ServerState, SetTimer, Settings, TimerDue, Watch,
+    Action,
+    Answer,
+    AttemptEnded,
+    Cancel,
+    Close,
+    Effect,
+    Event,
+    Fail,
+    InstancesCounted,
+    ListKind,
+    ListReceived,
+    Narrow,
+    Outcome,
+    PartArrived,
+    Probe,
+    ProbeEnded,
+    QueryArrived,
+    QueryGone,
+    Refuse,
+    Send,
+    ServerEntry,
+    ServerState,
+    SetTimer,
+    Settings,
+    TimerDue,
+    Watch,
 )
 from stepknot.records import Attempt, Call, Capsule, Part, Query, Share
 
@@ -26,32 +49,52 @@
 # classes: a queue that the most hurried class can bear; the rest is for the spread of work.
 BETA_SHARE = 0.65
 LEAST_BETA = 2.0  # however slow a server was seen to be: with nothing out nothing would be learnt
-ALPHA_SHARE = 0.8  # of beta: from here on the wait shrinks; all-parts queries are refused from beta on
-COPY_SHARE = 0.25  # of beta: a copy goes only to a replica under it, so that copies never feed a jam
+ALPHA_SHARE = (
+    0.8  # of beta: from here on the wait shrinks; all-parts queries are refused from beta on
+)
+COPY_SHARE = (
+    0.25  # of beta: a copy goes only to a replica under it, so that copies never feed a jam
+)
 # Where servers near beta, work goes where it earns most: a query's beta grows with its worth for each part
 # against the recent mean, by the root, and within these bounds, so that no class starves.
 LEAST_FAVOUR, MOST_FAVOUR = 0.6, 1.5
 WORTH_WEIGHT = 0.02  # of a query in that mean
-LEAST_TIME = 1.5  # means of time left, or a part is bypassed: clients that give up early waste the work
+LEAST_TIME = (
+    1.5  # means of time left, or a part is bypassed: clients that give up early waste the work
+)
 MARGIN = 0.05  # share of the aim kept back for the way to the client: the base wait is the rest
-SECOND_STEP = 0.4  # share of the base wait kept back for a second step, which has fewer and lighter parts
+SECOND_STEP = (
+    0.4  # share of the base wait kept back for a second step, which has fewer and lighter parts
+)
 UNHEARD = 0.1  # mean response time, in shortest aims, before any server was heard
-MEAN_WEIGHT, FLEET_WEIGHT = 0.2, 0.05  # of a new sample in a server's mean, and in that of all servers
+MEAN_WEIGHT, FLEET_WEIGHT = (
+    0.2,
+    0.05,
+)  # of a new sample in a server's mean, and in that of all servers
 MEMORY = 5.0  # seconds in which half of a mean is forgotten
 # Where many aggregators share the servers, own parts say little of a load: the replicas are asked before a
 # send. A question may take so much of the aim, and a report counts for so much of the shortest base wait.
 ASK_SHARE, FRESH_SHARE = 0.03, 0.5
 IDLE = 2.0  # parts of others at a server, in the mean, under which nothing need be asked
-UNANSWERED = 4  # what a question without an answer counts as out: who answers is better, even with a queue
+UNANSWERED = (
+    4  # what a question without an answer counts as out: who answers is better, even with a queue
+)
 REPORT_TRUST = 0.5  # of what a report says, as it may be late, noisy, frozen or a lie
 # A failure counts as out, in the choice alone, for so many shortest waits: who fails fast looks idle.
-FAILURE_HOLD, MOST_HELD = 4.0, 3  # so many errors at most: errors that all servers share must not unbalance
-HOLD_GAPS = 2.0  # or for so many times as long as nothing was sent there: who sends rarely must learn too
+FAILURE_HOLD, MOST_HELD = (
+    4.0,
+    3,
+)  # so many errors at most: errors that all servers share must not unbalance
+HOLD_GAPS = (
+    2.0  # or for so many times as long as nothing was sent there: who sends rarely must learn too
+)
 SPARE = 0.5  # of the attempt budget, kept for parts without which their query is lost
 OVERDUE = 4.0  # means after which a part is copied elsewhere
 # A server stands still once nothing came back for so many times what lies between two answers of any server.
 SILENCE = 8.0
-STILL_SHARE = 0.4  # of beta: what is out there is copied to a replica under it; the first try hardly ran
+STILL_SHARE = (
+    0.4  # of beta: what is out there is copied to a replica under it; the first try hardly ran
+)
 # Connections idle for over a shortest wait are closed where parts on them fail in more than this share and
 IDLE_LOSS = 0.15  # twice as often as others: they may have been dropped unseen
 # A server is deaf to a class of which it loses so much more than twice the share of another class.
@@ -61,8 +104,12 @@
 # with what the caller takes to see that it is broken and to open another, a change is told in time.
 WATCH_RETRY, RETRY_MOST = 0.25, 0.5
 QUICK = 0.25  # share of responses that are quicker than what is taken for work
-COLD_USE = 0.8  # of what a cold server can bear: the rest is for chance, and for work not like the mean
-OUTAGE = 1  # lost parts for each server, with none served anywhere, that are taken for an outage of all
+COLD_USE = (
+    0.8  # of what a cold server can bear: the rest is for chance, and for work not like the mean
+)
+OUTAGE = (
+    1  # lost parts for each server, with none served anywhere, that are taken for an outage of all
+)
 EPSILON = 1e-6  # weights add up to 1 but for rounding
 
 
@@ -80,9 +127,15 @@
         self.random = random.Random(seed)
         self.capsules: dict[str, Capsule] = {}  # of the servers listed, in the list's order
         self.shares: dict[str, Share] = {}
-        self.work: dict[str, tuple[int, float]] = {}  # by class, and of all: responses heard, a part's work
-        self.cells: dict[int, list[Capsule]] = {}  # the live ones by the cell of the shards they hold
-        self.by_shard: dict[int, list[Capsule]] = {}  # made from that as asked for, not to be changed
+        self.work: dict[
+            str, tuple[int, float]
+        ] = {}  # by class, and of all: responses heard, a part's work
+        self.cells: dict[
+            int, list[Capsule]
+        ] = {}  # the live ones by the cell of the shards they hold
+        self.by_shard: dict[
+            int, list[Capsule]
+        ] = {}  # made from that as asked for, not to be changed
         self.fleet = Capsule(ServerEntry("", "", 0, ServerState.LIVE))  # the means over all servers
         self.queries: dict[int, Query] = {}  # by number
         self.fresh: dict[int, Query] = {}  # queries with parts not placed yet
@@ -91,17 +144,26 @@
         self.taken: deque[float] = deque()  # times of queries and parts, and of further attempts
         self.extras: deque[float] = deque()
         self.actions: list[Action] = []
-        self.lost: dict[tuple[str, object], tuple[float, float]] = {}  # share of parts that failed, when
+        self.lost: dict[
+            tuple[str, object], tuple[float, float]
+        ] = {}  # share of parts that failed, when
         self.least: dict[str, float] = {}  # by trait: of these shares now
         self.worth = 0.0  # recent mean worth for a part
         self.unserved = 0  # parts lost, anywhere, since one was served
         self.now, self.began = 0.0, math.inf
         self.turn = self.token = 0
-        self.shortest_wait = min((kind.aim for kind in settings.classes.values()), default=1.0) * (1 - MARGIN)
+        self.shortest_wait = min((kind.aim for kind in settings.classes.values()), default=1.0) * (
+            1 - MARGIN
+        )
         self.handlers: dict[type, Callable[[Any], None]] = {
-            AttemptEnded: self.on_attempt_ended, ProbeEnded: self.on_probe_ended, QueryArrived: self.on_query,
-            PartArrived: self.on_part, QueryGone: self.on_gone, ListReceived: self.on_list,
-            TimerDue: self.on_timer, InstancesCounted: self.on_counted,
+            AttemptEnded: self.on_attempt_ended,
+            ProbeEnded: self.on_probe_ended,
+            QueryArrived: self.on_query,
+            PartArrived: self.on_part,
+            QueryGone: self.on_gone,
+            ListReceived: self.on_list,
+            TimerDue: self.on_timer,
+            InstancesCounted: self.on_counted,
         }
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
@@ -151,7 +213,9 @@
             return
         if event.kind is not ListKind.CHANGES:
             named = {entry.server for entry in event.entries}
-            self.capsules = {server: each for server, each in self.capsules.items() if server in named}
+            self.capsules = {
+                server: each for server, each in self.capsules.items() if server in named
+            }
         for entry in event.entries:
             old = self.capsules.get(entry.server)
             if entry.state is ServerState.GONE:
@@ -159,12 +223,17 @@
             elif old is None or old.entry.up_since != entry.up_since:
                 # What was heard of an earlier process says nothing of this one; what is out stays counted.
                 share = self.shares.setdefault(entry.server, Share())
-                self.capsules[entry.server] = Capsule(entry, old.calls if old else set(), share=share)
+                self.capsules[entry.server] = Capsule(
+                    entry, old.calls if old else set(), share=share
+                )
             else:
                 old.entry = entry
         since = self.now - self.settings.rules.fall_time
-        self.shares = {server: share for server, share in self.shares.items()
-                       if server in self.capsules or share.spent and share.spent[-1][0] > since}
+        self.shares = {
+            server: share
+            for server, share in self.shares.items()
+            if server in self.capsules or share.spent and share.spent[-1][0] > since
+        }
         self.cells, self.by_shard = {}, {}
         for capsule in self.capsules.values():
             if capsule.entry.state is ServerState.LIVE:
@@ -177,8 +246,11 @@
         found = self.by_shard.get(shard)
         if found is None:
             size = self.settings.cells
-            found = self.by_shard[shard] = [each for step in range(self.settings.reach)
-                                            for each in self.cells.get((shard + step) % size, ())]
+            found = self.by_shard[shard] = [
+                each
+                for step in range(self.settings.reach)
+                for each in self.cells.get((shard + step) % size, ())
+            ]
         return found
 
     def trust(self, capsule: Capsule) -> float:
@@ -231,7 +303,9 @@
 
     def lost_share(self, trait: str, value: object) -> float:
         share, at = self.lost.get((trait, value), (0.0, 0.0))
-        memory = self.settings.limits.idle_connection if trait == "idle" else 0.0  # none lasts longer
+        memory = (
+            self.settings.limits.idle_connection if trait == "idle" else 0.0
+        )  # none lasts longer
         return share * math.exp2((at - self.now) / (memory or MEMORY))
 
     def pooled(self, capsule: Capsule) -> int:
@@ -277,7 +351,8 @@
         """Whether it loses this class while it answers another."""
         mine = self.unheeded(capsule, name)
         return mine > DEAF_SHARE and mine > DEAF_SHARE + 2 * min(
-            self.unheeded(capsule, each) for each in self.settings.classes)
+            self.unheeded(capsule, each) for each in self.settings.classes
+        )
 
     def idle_lost(self) -> bool:
         """Whether idle ones are closed before a send; new ones that cannot be had speak against it."""
@@ -309,7 +384,10 @@
         for key in (name, ""):
             count, work = self.work.get(key) or (0, self.shortest_wait * UNHEARD)
             step = max(MEAN_WEIGHT / 4, 1 / (count + 1))
-            self.work[key] = count + 1, work * math.exp(step * QUICK if took > work else step * (QUICK - 1))
+            self.work[key] = (
+                count + 1,
+                work * math.exp(step * QUICK if took > work else step * (QUICK - 1)),
+            )
 
     def has_room(self, capsule: Capsule, name: str) -> bool:
         """Whether a cold server may get one more part: this instance's fair part of what makes it fall over,
@@ -331,26 +409,43 @@
         # Who just started may have sent its part already, in the process before.
         return self.now >= self.began + rules.fall_time and left + cost * capsule.share.luck >= cost
 
-    def choose(self, query: Query, shard: int, tried: list[str], share: float, trial: bool) -> Capsule | None:
+    def choose(
+        self, query: Query, shard: int, tried: list[str], share: float, trial: bool
+    ) -> Capsule | None:
         """The replica with the fewest calls out; one formed in this turn takes a further part for nothing.
 
         One at its bound or to be bypassed comes after others: a slow server has few out, it would be chosen
         again and again, and each all-parts query be refused for it until its mean is forgotten. So does one
         that stands still. Last comes one deaf to this class: a query sent there is lost, with all its parts.
         """
+
         def rank(capsule: Capsule) -> tuple[bool, bool, bool, float, bool, float]:
             count = self.load(capsule) + self.failed(capsule) + UNANSWERED * capsule.asked
             # Reports count by powers of two: all aggregators see the same one, and must not all follow it.
             count += int(math.log2(1 + self.others_at(capsule)))
-            deaf, bound = self.deaf(capsule, query.kind.name), self.wait_at(query, capsule, share, trial) <= 0
-            return deaf, bound, self.silent(capsule), count + self.pooled(
-                capsule), not self.joins(capsule), self.random.random()
-
-        holders = [each for each in self.holders(shard)
-                   if each.entry.server not in tried and self.has_room(each, query.kind.name)]
+            deaf, bound = (
+                self.deaf(capsule, query.kind.name),
+                self.wait_at(query, capsule, share, trial) <= 0,
+            )
+            return (
+                deaf,
+                bound,
+                self.silent(capsule),
+                count + self.pooled(capsule),
+                not self.joins(capsule),
+                self.random.random(),
+            )
+
+        holders = [
+            each
+            for each in self.holders(shard)
+            if each.entry.server not in tried and self.has_room(each, query.kind.name)
+        ]
         if self.narrow:
             entries, safe = [each.entry for each in holders], query.kind.effect is Effect.SAFE
-            holders = [holders[place] for place in self.narrow(self.now, entries, safe, bool(query.first))]
+            holders = [
+                holders[place] for place in self.narrow(self.now, entries, safe, bool(query.first))
+            ]
         return min(holders, key=rank, default=None)
 
     def ready(self, query: Query) -> bool:
@@ -371,7 +466,8 @@
                     capsule.asked = True
                     self.actions.append(Probe(capsule.entry.server))
         return self.now >= query.ask_end - EPSILON or not any(
-            each.asked for part in query.step for each in self.holders(part.shard))
+            each.asked for part in query.step for each in self.holders(part.shard)
+        )
 
     def patience(self) -> float:
         return SILENCE * self.measure()[1]
@@ -406,7 +502,12 @@
         if capsule is not None:
             capsule.asked = False
             self.note_report(capsule, event.load)
-            if event.outcome not in (Outcome.SERVED, Outcome.REJECTED, Outcome.CANCELLED, Outcome.NOT_SENT):
+            if event.outcome not in (
+                Outcome.SERVED,
+                Outcome.REJECTED,
+                Outcome.CANCELLED,
+                Outcome.NOT_SENT,
+            ):
                 self.note_failure(capsule, math.inf)
 
     def note_report(self, capsule: Capsule, load: dict[str, float]) -> None:
@@ -423,7 +524,9 @@
             capsule.failures.append(self.now + hold)
             self.fleet.told = -math.inf  # not all is well: ask
 
-    def wait_at(self, query: Query, capsule: Capsule, share: float = 1.0, trial: bool = False) -> float:
+    def wait_at(
+        self, query: Query, capsule: Capsule, share: float = 1.0, trial: bool = False
+    ) -> float:
         """How long a part may wait for this server: 0 for one at its bound and for a part to be bypassed."""
         if query.first:  # a second step is never shed: the first one's work would be for nothing
             return query.wait_end - self.now
@@ -456,7 +559,9 @@
 
     def set_wait(self, query: Query, share: float) -> None:
         query.wait_end = min(query.arrived + query.kind.aim * (1 - MARGIN) * share, query.last)
-        if query.wait_end <= self.now and query.kind.late_value:  # the second step after a late first one
+        if (
+            query.wait_end <= self.now and query.kind.late_value
+        ):  # the second step after a late first one
             query.wait_end = query.last
         self.set_timer(query.wait_end, partial(self.on_wait_end, query))
 
@@ -486,15 +591,21 @@
     def place(self, query: Query) -> None:
         """Choose a server and a wait for each part, or refuse the query before any send."""
         if not query.first:
-            worth = query.kind.worth / (1 if self.settings.worth_by_work else max(len(query.step), 1))
+            worth = query.kind.worth / (
+                1 if self.settings.worth_by_work else max(len(query.step), 1)
+            )
             self.worth += (WORTH_WEIGHT if self.worth else 1.0) * (worth - self.worth)
             favour = math.sqrt(worth / max(self.worth, EPSILON))
             query.favour = min(MOST_FAVOUR, max(LEAST_FAVOUR, favour))
         # After an outage of all, every query would be refused until the means are forgotten, and nothing be
         # heard meanwhile: one that would be refused is a trial of servers that have been idle.
         for trial in (False, True) if self.outage() else (False,):
-            plan = [attempt for part in query.step if (attempt := self.plan(query, part, 1.0, trial))]
-            if sum(attempt.part.weight for attempt in plan) >= max(query.kind.floor - EPSILON, EPSILON):
+            plan = [
+                attempt for part in query.step if (attempt := self.plan(query, part, 1.0, trial))
+            ]
+            if sum(attempt.part.weight for attempt in plan) >= max(
+                query.kind.floor - EPSILON, EPSILON
+            ):
                 for attempt in plan:
                     self.send(attempt)
                 return
@@ -504,17 +615,22 @@
                     attempt.capsule.share.spent.pop()
         self.conclude(query)
 
-    def plan(self, query: Query, part: Part, share: float = 1.0, trial: bool = False) -> Attempt | None:
+    def plan(
+        self, query: Query, part: Part, share: float = 1.0, trial: bool = False
+    ) -> Attempt | None:
         """An attempt at a replica not tried yet, if there is one, unless it is at its bound or bypassed."""
         capsule = self.choose(query, part.shard, part.tried, share, trial) or self.choose(
-            query, part.shard, [], share, trial)
+            query, part.shard, [], share, trial
+        )
         wait = self.wait_at(query, capsule, share, trial) if capsule else 0.0
         if capsule is None or wait <= 0:
             return None
         call = self.take(capsule, query.kind.name)
         out = len(capsule.calls) + self.others_at(capsule)
         if query.kind.late_value and wait >= query.wait_end - self.now - EPSILON:
-            wait = query.last - self.now  # not shortened: it may still be of use after the wait's end
+            wait = (
+                query.last - self.now
+            )  # not shortened: it may still be of use after the wait's end
         return Attempt(capsule, call, part, query, out, self.now, wait)
 
     def send(self, attempt: Attempt) -> None:
@@ -534,7 +650,9 @@
             self.actions.append(Close(capsule.entry.server))
         capsule.used, capsule.silent_since = self.now, min(capsule.silent_since, self.now)
         self.watch_silence(capsule, self.now)
-        self.actions.append(Send(part.part_id, capsule.entry.server, attempt.wait, key[1], not_after))
+        self.actions.append(
+            Send(part.part_id, capsule.entry.server, attempt.wait, key[1], not_after)
+        )
         overdue = OVERDUE * self.measure(capsule)[0]
         if overdue < attempt.wait:
             self.set_timer(self.now + overdue, partial(self.on_overdue, key))
@@ -555,7 +673,9 @@
             elapsed = min(event.elapsed, query.kind.aim) if censored else event.elapsed
             if event.outcome is Outcome.SERVED or censored and elapsed > each.mean:
                 self.hear(each, elapsed, attempt.out, weight)
-        busy = event.outcome is Outcome.TIMED_OUT and capsule.answered >= attempt.sent  # it answers others
+        busy = (
+            event.outcome is Outcome.TIMED_OUT and capsule.answered >= attempt.sent
+        )  # it answers others
         if event.outcome is Outcome.SERVED:
             if self.outage():  # what was heard in it says nothing of any server
                 for each in (*self.capsules.values(), self.fleet):
@@ -579,7 +699,11 @@
             part.may_run_since = None
         if part not in query.step or query.number in self.fresh:
             return
-        if not part.served and not part.out and event.outcome not in (Outcome.NOT_SENT, Outcome.TIMED_OUT):
+        if (
+            not part.served
+            and not part.out
+            and event.outcome not in (Outcome.NOT_SENT, Outcome.TIMED_OUT)
+        ):
             self.send_again(query, part, 1.0)
         hopeless = weigh(query, True) < query.kind.floor - EPSILON  # nothing more is spent on it
         enough = query.late and weigh(query) >= query.kind.floor - EPSILON
@@ -615,8 +739,14 @@
         if weigh(query, hoped=True) >= kind.floor - EPSILON:
             allowed *= 1 - SPARE
         spent = rules.extra_window > 0 and len(self.extras) + 1 > allowed
-        harmless = kind.effect is Effect.SAFE or part.may_run_since is None or (
-            kind.effect is Effect.KEYED and self.now < part.may_run_since + kind.repeat_window - EPSILON)
+        harmless = (
+            kind.effect is Effect.SAFE
+            or part.may_run_since is None
+            or (
+                kind.effect is Effect.KEYED
+                and self.now < part.may_run_since + kind.repeat_window - EPSILON
+            )
+        )
         if spent or not harmless or len(part.tried) >= self.settings.limits.max_attempts:
             return
         attempt = self.plan(query, part, share)
@@ -639,7 +769,9 @@
                 query.first, query.step, query.first_whole = query.step, [], whole
                 self.set_wait(query, 1.0)
                 return
-        elif kind.effect is Effect.SAFE or all(p.may_run_since is None for p in query.step + query.first):
+        elif kind.effect is Effect.SAFE or all(
+            p.may_run_since is None for p in query.step + query.first
+        ):
             # By then a server at beta has come down to alpha; sooner, the client would only be refused again.
             # With the aim over, who comes back only adds to the load: the longest advice that is followed.
             over = self.now >= query.arrived + kind.aim * (1 - MARGIN) - EPSILON
--- a/stepknot/net/http.py
+++ b/stepknot/net/http.py
@@ -15,10 +15,21 @@
 import httptools
 
 REASONS = {
-    200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-    406: "Not Acceptable", 408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
-    414: "URI Too Long", 415: "Unsupported Media Type", 429: "Too Many Requests",
-    431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
+    200: "OK",
+    201: "Created",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    406: "Not Acceptable",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    414: "URI Too Long",
+    415: "Unsupported Media Type",
+    429: "Too Many Requests",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    501: "Not Implemented",
     503: "Service Unavailable",
 }
 GZIP_FROM = 1400  # bytes: a shorter body fits a packet as it is
@@ -74,7 +85,10 @@
     """When to return: whole seconds as HTTP has them, never sooner than advised; the exact time beside it."""
     if seconds <= 0:
         return []
-    return [("retry-after", str(max(1, math.ceil(seconds)))), ("retry-after-ms", str(math.ceil(seconds * 1000)))]
+    return [
+        ("retry-after", str(max(1, math.ceil(seconds)))),
+        ("retry-after-ms", str(math.ceil(seconds * 1000))),
+    ]
 
 
 def inflate(data: bytes, most: int) -> bytes:
@@ -125,8 +139,19 @@
 class ServerParser:
     """Fed bytes, it fills `requests`. After an HttpError it must not be fed again."""
 
-    __slots__ = ("limits", "requests", "parser", "url", "headers", "pieces", "size", "header_size", "error",
-                 "started", "expects")
+    __slots__ = (
+        "limits",
+        "requests",
+        "parser",
+        "url",
+        "headers",
+        "pieces",
+        "size",
+        "header_size",
+        "error",
+        "started",
+        "expects",
+    )
 
     def __init__(self, limits: HttpLimits) -> None:
         self.limits = limits
@@ -202,18 +227,34 @@
         elif coding not in ("", "identity"):
             self.refuse(415, f"content-encoding [{coding}] is not supported")
         path, _, query = self.url.decode("latin-1").partition("?")
-        self.requests.append(Request(
-            self.parser.get_method().decode(), path, dict(parse_qsl(query, keep_blank_values=True)),
-            self.headers, body, bool(self.parser.should_keep_alive()),
-            self.parser.get_http_version() == "1.0",
-        ))
+        self.requests.append(
+            Request(
+                self.parser.get_method().decode(),
+                path,
+                dict(parse_qsl(query, keep_blank_values=True)),
+                self.headers,
+                body,
+                bool(self.parser.should_keep_alive()),
+                self.parser.get_http_version() == "1.0",
+            )
+        )
         self.started, self.expects, self.pieces = False, False, []
 
 
 class ClientParser:
     """Fed bytes of one response; `done` once it is whole."""
 
-    __slots__ = ("most", "parser", "status", "headers", "pieces", "size", "done", "keep_alive", "over")
+    __slots__ = (
+        "most",
+        "parser",
+        "status",
+        "headers",
+        "pieces",
+        "size",
+        "done",
+        "keep_alive",
+        "over",
+    )
 
     def __init__(self, most: int) -> None:
         self.most = most
@@ -228,7 +269,11 @@
         try:
             self.parser.feed_data(data)
         except Exception as error:  # noqa: BLE001 - whatever the peer sent, it is malformed
-            reason = f"response is over {self.most} bytes" if self.over else f"malformed response: {error}"
+            reason = (
+                f"response is over {self.most} bytes"
+                if self.over
+                else f"malformed response: {error}"
+            )
             raise HttpError(502, reason) from None
 
     def release(self) -> None:
--- a/stepknot/net/loop.py
+++ b/stepknot/net/loop.py
@@ -129,7 +129,18 @@
 class Task:
     """One coroutine in flight. `result` and `error` are set once `done`."""
 
-    __slots__ = ("loop", "steps", "name", "done", "result", "error", "ticket", "waiters", "patient", "__weakref__")
+    __slots__ = (
+        "loop",
+        "steps",
+        "name",
+        "done",
+        "result",
+        "error",
+        "ticket",
+        "waiters",
+        "patient",
+        "__weakref__",
+    )
 
     def __init__(self, loop: Loop, steps: Coroutine, name: str) -> None:
         self.loop, self.steps, self.name = loop, steps, name
@@ -142,7 +153,9 @@
         """Go on at the next chance, if still parked under this ticket."""
         if not self.done and ticket == self.ticket:
             self.ticket += 1
-            (self.loop.new if self.patient else self.loop.due).append((self, self.ticket, value, error))
+            (self.loop.new if self.patient else self.loop.due).append(
+                (self, self.ticket, value, error)
+            )
 
     def step(self, value: Any, error: BaseException | None) -> None:
         try:
@@ -166,6 +179,7 @@
 
     def wait(self) -> Generator[Park, Any, Any]:
         """For another task: its result once it is done. Raises what it ended by."""
+
         def park(own: Task) -> None:
             ticket = own.ticket
             self.waiters.append(lambda: own.resume(ticket))
@@ -225,10 +239,14 @@
         self.on_slow_turn: Callable[[float, float], None] = lambda took, cpu: None
         self.now = clock()
         self.links: dict[int, Link] = {}
-        self.timers: list[tuple[float, int, Timer]] = []  # a heap; the number keeps the order of equal times
+        self.timers: list[
+            tuple[float, int, Timer]
+        ] = []  # a heap; the number keeps the order of equal times
         self.timer_count = 0
         self.due: deque[tuple[Task, int, Any, BaseException | None]] = deque()
-        self.new: deque[tuple[Task, int, Any, BaseException | None]] = deque()  # of tasks that are patient
+        self.new: deque[tuple[Task, int, Any, BaseException | None]] = (
+            deque()
+        )  # of tasks that are patient
         self.tasks: set[Task] = set()
         self.turn_hooks: list[Callable[[], None]] = []
         self.stopping = False
@@ -281,6 +299,7 @@
 
     def on_signal(self, what: Callable[[], None], *numbers: int) -> None:
         """Call `what` in the next turn after one of these signals."""
+
         def handler(number: int, frame: object) -> None:
             self.call_at(0.0, what)
             self.network.wake()
@@ -316,7 +335,9 @@
             heapq.heappop(self.timers)
         return min(max(self.timers[0][0] - self.clock(), 0.0), 1.0) if self.timers else 1.0
 
-    def run_due(self, due: deque[tuple[Task, int, Any, BaseException | None]], until: float) -> None:
+    def run_due(
+        self, due: deque[tuple[Task, int, Any, BaseException | None]], until: float
+    ) -> None:
         """Step tasks until none is due, or the slice is over: the rest is for the next turn.
 
         Guards timers and final answers against many long pieces of work that come at once, such as huge replies.
@@ -342,7 +363,9 @@
         self.busy += took
         self.lag_sum += took
         self.lag_most = max(self.lag_most, took)
-        self.lag_lately = max(took, self.lag_lately * 0.5 ** ((self.now - self.lag_at) / LAG_MEMORY))
+        self.lag_lately = max(
+            took, self.lag_lately * 0.5 ** ((self.now - self.lag_at) / LAG_MEMORY)
+        )
         self.lag_at = self.now
         if took >= SLICE:
             self.behind = max(self.behind, took)
@@ -366,7 +389,9 @@
         """A UDP socket bound there. Raises OSError."""
         return Datagrams(self, self.network.datagrams(host, port), on_datagram)
 
-    def connect(self, host: str, port: int, timeout: float, source: str = "") -> Generator[Park, Any, Link]:
+    def connect(
+        self, host: str, port: int, timeout: float, source: str = ""
+    ) -> Generator[Park, Any, Link]:
         """A connected link. Raises OSError, or Expired after `timeout` seconds."""
         link = Link(self, self.network.connect(host, port, source))
         try:
@@ -383,8 +408,21 @@
 class Link:
     """One socket on the loop. One task may read and one may write at a time."""
 
-    __slots__ = ("loop", "sock", "number", "reader", "writer", "can_read", "can_write", "peer_closed",
-                 "closed", "on_peer_closed", "unsent", "heard_at", "on_readable")
+    __slots__ = (
+        "loop",
+        "sock",
+        "number",
+        "reader",
+        "writer",
+        "can_read",
+        "can_write",
+        "peer_closed",
+        "closed",
+        "on_peer_closed",
+        "unsent",
+        "heard_at",
+        "on_readable",
+    )
 
     def __init__(self, loop: Loop, sock: Any) -> None:
         self.loop, self.sock, self.number = loop, sock, sock.fileno()
@@ -395,7 +433,9 @@
         self.on_peer_closed: Callable[[], None] | None = None
         self.on_readable: Callable[[], None] | None = None  # for what reads without a task
         self.unsent = 0  # bytes of the last write that the kernel has not taken
-        self.heard_at = loop.now  # when the loop was last told of bytes here, whoever reads them later
+        self.heard_at = (
+            loop.now
+        )  # when the loop was last told of bytes here, whoever reads them later
         loop.links[self.number] = self
         loop.network.register(sock)
 
@@ -438,7 +478,9 @@
 
         def park_until(task: Task) -> None:
             ticket = task.ticket
-            timers.append(self.loop.call_later(timeout, lambda: task.resume(ticket, None, Expired())))
+            timers.append(
+                self.loop.call_later(timeout, lambda: task.resume(ticket, None, Expired()))
+            )
             park(task)
 
         try:
@@ -490,8 +532,9 @@
             self.can_write = False
             return 0
 
-    def send(self, data: bytes, timeout: float | None = None, least: float = 0.0,
-             grace: float = 0.0) -> Generator[Park, Any, None]:
+    def send(
+        self, data: bytes, timeout: float | None = None, least: float = 0.0, grace: float = 0.0
+    ) -> Generator[Park, Any, None]:
         """All of it, as fast as the peer takes it; `timeout` is for each wait, and after `grace` seconds it must have
         taken `least` bytes a second on the whole. Raises OSError, Expired."""
         self.unsent = len(data)
@@ -505,7 +548,9 @@
             waited = self.loop.now
             while not self.can_write:
                 try:
-                    yield from self.parked(self.park_writer, min(timeout or grace, grace) if least else timeout)
+                    yield from self.parked(
+                        self.park_writer, min(timeout or grace, grace) if least else timeout
+                    )
                 except Expired:  # with a rate to be kept the waits are short, and looked at below
                     if not least or timeout is not None and self.loop.now - waited >= timeout:
                         raise
@@ -515,7 +560,7 @@
             if len(data) - self.unsent < least * (self.loop.now - begun - grace):
                 raise Expired
             if self.can_write:
-                self.unsent -= self.send_now(view[len(data) - self.unsent:])
+                self.unsent -= self.send_now(view[len(data) - self.unsent :])
 
     def close(self, abort: bool = False) -> None:
         """Close at once; with `abort` the peer sees a reset."""
@@ -545,7 +590,9 @@
         self.loop, self.link, self.on_accept = loop, Link(loop, sock), on_accept
         self.address: tuple[Any, ...] = sock.getsockname()
         self.rests = 0
-        self.screen: Callable[[Any, tuple[Any, ...]], bool] | None = None  # whether that was all for this connection
+        self.screen: Callable[[Any, tuple[Any, ...]], bool] | None = (
+            None  # whether that was all for this connection
+        )
         self.on_failed: Callable[[], None] = lambda: None  # what was accepted last came to nothing
         self.on_exhausted: Callable[[Any, tuple[Any, ...]], None] | None = None
         self.spare: int | None = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
@@ -639,7 +686,9 @@
 class Datagrams:
     """A UDP socket. Nothing waits for it: what the kernel does not take now is lost, as datagrams may be anyway."""
 
-    def __init__(self, loop: Loop, sock: Any, on_datagram: Callable[[tuple[Any, ...], bytes], None]) -> None:
+    def __init__(
+        self, loop: Loop, sock: Any, on_datagram: Callable[[tuple[Any, ...], bytes], None]
+    ) -> None:
         self.loop, self.on_datagram = loop, on_datagram
         self.address: tuple[Any, ...] = sock.getsockname()
         self.lost = 0  # not taken by the kernel
@@ -655,7 +704,9 @@
                 data, source = self.link.sock.recvfrom(MOST_DATAGRAM)
             except BlockingIOError:
                 return
-            except OSError:  # an earlier one could not be delivered: the network's word on that is not needed
+            except (
+                OSError
+            ):  # an earlier one could not be delivered: the network's word on that is not needed
                 continue
             self.on_datagram(source, data)
         self.loop.call_later(NEXT_TURN, self.read)
--- a/stepknot/net/server.py
+++ b/stepknot/net/server.py
@@ -19,39 +19,81 @@
 from typing import Any
 
 from stepknot.admission.forwarded import Malformed, read_proxy
-from stepknot.net.http import HttpError, HttpLimits, Request, Response, ServerParser, encode_response
+from stepknot.net.http import (
+    HttpError,
+    HttpLimits,
+    Request,
+    Response,
+    ServerParser,
+    encode_response,
+)
 from stepknot.net.loop import NEXT_TURN, Coroutine, Expired, Link, Listener, Loop, Park
 
 CHUNK = 64 * 1024
 PROGRESS_LOOK = 1.0  # seconds between looks at how fast a request arrives
 ROOM_LOOK = 0.02  # seconds between looks whether there is room for bytes
 LINGER = 2.0  # seconds for the peer to read the last answer before the connection goes
-READ_AHEAD = 16 * 1024  # bytes behind a request in work that are kept; what is then done with more: `one_at_a_time`
+READ_AHEAD = (
+    16 * 1024
+)  # bytes behind a request in work that are kept; what is then done with more: `one_at_a_time`
 DRAIN_BATCH = 16  # chunks read off in a row before others have their turn
-FRESH = 0.2  # seconds within which a connection that was let in just before the end should have asked
-TURNED_SHARE = 1 / 16  # of the bound on connections, beyond it: so many are told that there is no room
+FRESH = (
+    0.2  # seconds within which a connection that was let in just before the end should have asked
+)
+TURNED_SHARE = (
+    1 / 16
+)  # of the bound on connections, beyond it: so many are told that there is no room
 Handler = Callable[[Request, "Connection"], Generator[Park, Any, Response | None]]
 
 
 class Connection:
     """One client. A single lazy timer watches for silence: most waits need none of their own."""
 
-    __slots__ = ("server", "link", "peer", "parser", "deadline", "timer_set", "busy", "gone", "task", "number", "first",
-                 "begun", "received", "watched", "free_at", "leaving", "overrun", "unwelcome")
+    __slots__ = (
+        "server",
+        "link",
+        "peer",
+        "parser",
+        "deadline",
+        "timer_set",
+        "busy",
+        "gone",
+        "task",
+        "number",
+        "first",
+        "begun",
+        "received",
+        "watched",
+        "free_at",
+        "leaving",
+        "overrun",
+        "unwelcome",
+    )
 
-    def __init__(self, server: Server, link: Link, peer: tuple[Any, ...], number: int = 0, first: bytes = b"",
-                 unwelcome: bool = False) -> None:
+    def __init__(
+        self,
+        server: Server,
+        link: Link,
+        peer: tuple[Any, ...],
+        number: int = 0,
+        first: bytes = b"",
+        unwelcome: bool = False,
+    ) -> None:
         """`number`: by which the gate knows it; `first`: what was read before it was let in; `unwelcome`: there is no
         room, and it is told so."""
         self.server, self.link, self.peer = server, link, peer
         self.number, self.first, self.unwelcome = number, first, unwelcome
         self.leaving = False  # half-closed: nothing is heeded any more
-        self.overrun = False  # more came behind a request than is kept: this connection ends after it
+        self.overrun = (
+            False  # more came behind a request than is kept: this connection ends after it
+        )
         self.begun, self.received = server.loop.now, 0  # of the request that is arriving
         self.free_at = 0.0  # when the last answer was made
         self.parser = ServerParser(server.limits)
         self.busy = self.timer_set = self.watched = False
-        self.gone: Callable[[], None] | None = None  # called when the client hangs up during a request
+        self.gone: Callable[[], None] | None = (
+            None  # called when the client hangs up during a request
+        )
         link.on_peer_closed, link.on_readable = self.on_peer_closed, self.read_ahead
         self.deadline = 0.0
         self.set_deadline(server.limits.first_byte)
@@ -89,7 +131,9 @@
         gate = self.server.gate
         if gate is not None and not self.watched:
             self.watched = True
-            self.server.loop.call_at(self.begun + gate.settings.grace + PROGRESS_LOOK / 10, self.look)
+            self.server.loop.call_at(
+                self.begun + gate.settings.grace + PROGRESS_LOOK / 10, self.look
+            )
 
     def look(self) -> None:
         self.watched = False
@@ -102,8 +146,11 @@
             self.server.loop.call_later(PROGRESS_LOOK, self.look)
 
     def end_slow(self) -> None:
-        self.link.send_now(encode_response(
-            self.server.error(HttpError(408, "the request took too long to arrive")), None, True))
+        self.link.send_now(
+            encode_response(
+                self.server.error(HttpError(408, "the request took too long to arrive")), None, True
+            )
+        )
         self.server.silent += 1
         self.leave()
 
@@ -126,7 +173,12 @@
         return self.busy or self.link.unsent > 0
 
     def leave_unless_asked(self) -> None:
-        if not self.in_work and not self.parser.started and not self.first and self.link.peek() is None:
+        if (
+            not self.in_work
+            and not self.parser.started
+            and not self.first
+            and self.link.peek() is None
+        ):
             self.leave()
 
     def drain(self) -> Coroutine:
@@ -141,7 +193,11 @@
         """What comes behind a request in work is kept, within a bound. Beyond it the rest stays with the kernel, or,
         where clients ask one at a time, is read into nothing: an end may stand behind it."""
         count = 0
-        while self.busy and not self.link.peer_closed and (len(self.first) < READ_AHEAD or self.server.one_at_a_time):
+        while (
+            self.busy
+            and not self.link.peer_closed
+            and (len(self.first) < READ_AHEAD or self.server.one_at_a_time)
+        ):
             count += 1
             if count > DRAIN_BATCH:
                 self.server.loop.call_later(NEXT_TURN, self.read_ahead)
@@ -192,7 +248,9 @@
         finally:
             self.on_peer_closed()
             self.link.close()
-            self.link.on_peer_closed = self.link.on_readable = self.parser.parser = None  # rings: with link and parser
+            self.link.on_peer_closed = self.link.on_readable = self.parser.parser = (
+                None  # rings: with link and parser
+            )
             self.server.connections.discard(self)
             self.server.idle.pop(self, None)
             if self.server.gate is not None:
@@ -220,8 +278,12 @@
                         gate.stir(self)
                         self.begun, self.received = server.loop.now, 0
                     self.received += len(data)
-                    if not gate.hold(self, len(data)) and not (yield from self.wait_for_room(len(data))):
-                        yield from self.refuse(HttpError(429, "too many bytes are held; return in a moment"))
+                    if not gate.hold(self, len(data)) and not (
+                        yield from self.wait_for_room(len(data))
+                    ):
+                        yield from self.refuse(
+                            HttpError(429, "too many bytes are held; return in a moment")
+                        )
                         return
                 try:
                     parser.feed(data)
@@ -248,7 +310,9 @@
             else:
                 if gate is not None:
                     gate.settle(self)
-                self.set_deadline(gate.keep_alive(server.limits.idle) if gate is not None else server.limits.idle)
+                self.set_deadline(
+                    gate.keep_alive(server.limits.idle) if gate is not None else server.limits.idle
+                )
                 server.note_idle(self)
 
     def wait_for_room(self, size: int) -> Generator[Park, Any, bool]:
@@ -306,10 +370,18 @@
             arrived = self.free_at = self.server.loop.now
             if response is None or self.link.closed:
                 return False
-            close = not request.keep_alive or self.server.closing or self.server.leaving or no_room is not None
+            close = (
+                not request.keep_alive
+                or self.server.closing
+                or self.server.leaving
+                or no_room is not None
+            )
             gate = self.server.gate
-            yield from self.link.send(encode_response(response, request, close), self.server.limits.write,
-                                      *((gate.settings.progress, gate.settings.grace) if gate is not None else ()))
+            yield from self.link.send(
+                encode_response(response, request, close),
+                self.server.limits.write,
+                *((gate.settings.progress, gate.settings.grace) if gate is not None else ()),
+            )
             if close:
                 self.leave()
                 return False
@@ -350,7 +422,9 @@
         self.closing = False
         self.closed_at = math.inf  # what comes later than `FRESH` after this is not taken up
         self.leaving = False  # each answer ends its connection; new ones are taken still
-        self.one_at_a_time = False  # whether clients ask one thing at a time, so that much behind it is no request
+        self.one_at_a_time = (
+            False  # whether clients ask one thing at a time, so that much behind it is no request
+        )
         self.gate: Any = None  # broker.gate.Gate, where connections are not simply taken
         self.silent = 0  # connections closed for silence
         self.most = math.inf  # connections, where no gate looks after them
@@ -387,8 +461,14 @@
         """End the connection that is missed least, whether there was one: the one that has been without a whole request
         for longest, be it between two, silent or in the midst of one. One that just came is about to ask, and goes
         last; one whose next bytes wait unread is none of them. Before all come those that were parted with."""
-        idle = [each for each in self.connections if not each.link.closed and (each.leaving or not each.in_work)]
-        for each in sorted(idle, key=lambda each: (not each.leaving, max(each.begun, each.free_at))):
+        idle = [
+            each
+            for each in self.connections
+            if not each.link.closed and (each.leaving or not each.in_work)
+        ]
+        for each in sorted(
+            idle, key=lambda each: (not each.leaving, max(each.begun, each.free_at))
+        ):
             if each.leaving or not each.first and each.link.peek() is None:
                 self.turned_away += 1
                 each.link.close()
--- a/stepknot/ownership/drains.py
+++ b/stepknot/ownership/drains.py
@@ -28,7 +28,9 @@
     zone: Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
     at_most: Annotated[int, msgspec.Meta(ge=1, le=MOST_OUT)] = 1
     every: Annotated[float, msgspec.Meta(ge=0.1, le=86400.0)] = 5.0
-    failing: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = 1.0  # beyond this share of failed queries it halts
+    failing: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = (
+        1.0  # beyond this share of failed queries it halts
+    )
     force: bool = False  # also where a box is the last one of its cell
 
 
@@ -45,9 +47,13 @@
     """The ledger's record."""
 
     drain: Drain | None = None
-    status: Annotated[str, msgspec.Meta(max_length=8)] = "none"  # running, halted, stopped, done, undone
+    status: Annotated[str, msgspec.Meta(max_length=8)] = (
+        "none"  # running, halted, stopped, done, undone
+    )
     cursor: Annotated[str, msgspec.Meta(max_length=64)] = ""  # the box that was taken out last
-    out: Annotated[list[Annotated[str, msgspec.Meta(max_length=64)]], msgspec.Meta(max_length=MOST_OUT)] = []
+    out: Annotated[
+        list[Annotated[str, msgspec.Meta(max_length=64)]], msgspec.Meta(max_length=MOST_OUT)
+    ] = []
     steps: int = 0
     why: Annotated[str, msgspec.Meta(max_length=120)] = ""
     orders: Annotated[list[str], msgspec.Meta(max_length=REMEMBERED)] = []
@@ -74,15 +80,19 @@
 def pack(state: State) -> bytes:
     found = encoder.encode(state)
     if len(found) > MOST_VALUE:
-        raise Refused(f"the record would take {len(found)} bytes of {MOST_VALUE}: fewer boxes at once")
+        raise Refused(
+            f"the record would take {len(found)} bytes of {MOST_VALUE}: fewer boxes at once"
+        )
     return found
 
 
 def last_of_its_cell(boxes: Boxes, out: list[str], address: str) -> bool:
     """Whether nobody else would serve its part of the data."""
     cell = boxes[address].cell
-    return not any(each.live and each.cell == cell and other != address and other not in out
-                   for other, each in boxes.items())
+    return not any(
+        each.live and each.cell == cell and other != address and other not in out
+        for other, each in boxes.items()
+    )
 
 
 def ordered(state: State, number: str, body: bytes, boxes: Boxes) -> State:
@@ -99,14 +109,18 @@
         drain = word.drain
         if active:
             assert state.drain is not None
-            raise Refused(f"a drain of zone {state.drain.zone} is {state.status}: undo it, or let it end")
+            raise Refused(
+                f"a drain of zone {state.drain.zone} is {state.status}: undo it, or let it end"
+            )
         zone = [address for address, box in boxes.items() if box.zone == drain.zone]
         if not zone:
             known = ", ".join(sorted({box.zone for box in boxes.values()})) or "none"
             raise Refused(f"no box in zone {drain.zone}; zones: {known}")
         last = [each for each in zone if boxes[each].live and last_of_its_cell(boxes, [], each)]
         if last and not drain.force:
-            raise Refused(f"{min(last)} is the last box of cell {boxes[min(last)].cell}: with force only")
+            raise Refused(
+                f"{min(last)} is the last box of cell {boxes[min(last)].cell}: with force only"
+            )
         return State(drain, "running", orders=orders)
     if not active:
         raise Refused(f"no drain runs: {state.status}")
@@ -132,10 +146,15 @@
     if failing > drain.failing:
         if state.status == "halted":
             return None
-        return change(state, status="halted", why=f"{failing:.1%} of queries fail, over {drain.failing:.1%}")
+        return change(
+            state, status="halted", why=f"{failing:.1%} of queries fail, over {drain.failing:.1%}"
+        )
     state = change(state, status="running", why="")
-    left = sorted(address for address, box in boxes.items()
-                  if box.zone == drain.zone and box.live and address > state.cursor)
+    left = sorted(
+        address
+        for address, box in boxes.items()
+        if box.zone == drain.zone and box.live and address > state.cursor
+    )
     if state.out and (len(state.out) >= drain.at_most or not left):
         return change(state, out=state.out[1:], steps=state.steps + 1)
     if not left:
@@ -143,7 +162,9 @@
     if last_of_its_cell(boxes, state.out, left[0]) and not drain.force:
         if state.out:
             return change(state, out=state.out[1:], steps=state.steps + 1)
-        return change(state, status="halted", why=f"{left[0]} is the last box of cell {boxes[left[0]].cell}")
+        return change(
+            state, status="halted", why=f"{left[0]} is the last box of cell {boxes[left[0]].cell}"
+        )
     return change(state, out=[*state.out, left[0]], cursor=left[0], steps=state.steps + 1)
 
 
--- a/stepknot/ownership/fence.py
+++ b/stepknot/ownership/fence.py
@@ -46,6 +46,9 @@
     """The newest record that is known to count: its owner said so, or a majority holds just this one."""
     held = [each.held for each in answers.values()]
     found: Iterable[Held] = [
-        each.held for each in answers.values()
-        if each.held.step and (each.committed >= each.held.step or held.count(each.held) >= majority)]
+        each.held
+        for each in answers.values()
+        if each.held.step
+        and (each.committed >= each.held.step or held.count(each.held) >= majority)
+    ]
     return max(found, key=lambda each: each.version, default=None)
--- a/stepknot/ownership/model.py
+++ b/stepknot/ownership/model.py
@@ -204,8 +204,26 @@
     error: Annotated[str, msgspec.Meta(max_length=300)]  # empty: it is in the ledger
 
 
-Message = (Claim | Granted | Refused | Renew | Renewed | Write | Written | Yield | Offer | Told | Ask | Holds | AskLife
-           | TellLife | Recall | Recalled | Order | Answered)
+Message = (
+    Claim
+    | Granted
+    | Refused
+    | Renew
+    | Renewed
+    | Write
+    | Written
+    | Yield
+    | Offer
+    | Told
+    | Ask
+    | Holds
+    | AskLife
+    | TellLife
+    | Recall
+    | Recalled
+    | Order
+    | Answered
+)
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
--- a/stepknot/ownership/node.py
+++ b/stepknot/ownership/node.py
@@ -60,19 +60,36 @@
     asked_at: float = -math.inf
     tell_at: float = -math.inf
     told: tuple[int, int] = (0, 0)  # the version that was last told whole to all
-    orders: dict[str, tuple[str, float]] = field(default_factory=dict)  # taken here, not in the ledger yet: by whom
+    orders: dict[str, tuple[str, float]] = field(
+        default_factory=dict
+    )  # taken here, not in the ledger yet: by whom
 
 
 class Ownership:
-    def __init__(self, me: m.Process, settings: m.OwnerSettings, voter: Voter | None, jobs: dict[str, Work],
-                 seed: int, member: Callable[[str], bool]) -> None:
+    def __init__(
+        self,
+        me: m.Process,
+        settings: m.OwnerSettings,
+        voter: Voter | None,
+        jobs: dict[str, Work],
+        seed: int,
+        member: Callable[[str], bool],
+    ) -> None:
         """`member(name)`: whether it is held alive: a hint for whose turn it is."""
         self.me, self.settings, self.voter, self.member = me, settings, voter, member
         self.random = random.Random(seed)
-        self.jobs = {name: JobView(Owner(name, me, settings, self.random.getrandbits(60)), work,
-                                   Fence(settings.majority)) for name, work in jobs.items()}
+        self.jobs = {
+            name: JobView(
+                Owner(name, me, settings, self.random.getrandbits(60)),
+                work,
+                Fence(settings.majority),
+            )
+            for name, work in jobs.items()
+        }
         self.members: list[str] = [me[0]]
-        self.out: list[tuple[str, bytes, bool]] = []  # to whom, what, and whether it waits for the disk
+        self.out: list[
+            tuple[str, bytes, bool]
+        ] = []  # to whom, what, and whether it waits for the disk
         self.orders: dict[str, Waiting] = {}
         self.counters: Counter[str] = Counter()
         self.events: list[tuple[str, dict[str, Any]]] = []
@@ -173,7 +190,9 @@
                     view.work.begin(now)
             elif what == "lost":
                 view.orders.clear()  # who asked asks the next owner
-                self.events.append(("job_lost", {"job": name, "epoch": owner.epoch, "why": owner.why}))
+                self.events.append(
+                    ("job_lost", {"job": name, "epoch": owner.epoch, "why": owner.why})
+                )
 
     def counts(self, view: JobView, held: m.Held | None) -> None:
         if held is not None and view.fence.admit(held):
@@ -185,7 +204,11 @@
         assert held is not None
         if held.version == view.told and now < view.tell_at:
             return
-        whole, view.told, view.tell_at = held.version != view.told, held.version, now + self.settings.renew
+        whole, view.told, view.tell_at = (
+            held.version != view.told,
+            held.version,
+            now + self.settings.renew,
+        )
         for each in self.members:
             if each != self.me[0]:
                 self.send(each, m.Told(name, *held.version, held.value if whole else None))
@@ -311,8 +334,17 @@
             self.orders[answered.number].error = answered.error
 
     handlers: dict[type, Any] = {
-        m.Told: on_told, m.Ask: on_ask, m.Holds: on_holds, m.Granted: on_answer, m.Refused: on_answer,
-        m.Renewed: on_answer, m.Written: on_answer, m.Offer: on_offer, m.Order: on_order, m.Answered: on_answered}
+        m.Told: on_told,
+        m.Ask: on_ask,
+        m.Holds: on_holds,
+        m.Granted: on_answer,
+        m.Refused: on_answer,
+        m.Renewed: on_answer,
+        m.Written: on_answer,
+        m.Offer: on_offer,
+        m.Order: on_order,
+        m.Answered: on_answered,
+    }
 
     # --- out
 
@@ -320,7 +352,9 @@
         """What goes to this broker itself goes by the same way, without the network."""
         self.out.append((to, m.encode(self.settings.fleet, self.me, message), waits))
 
-    def take(self) -> tuple[list[tuple[str, bytes, bool]], m.Saved | None, list[tuple[str, dict[str, Any]]]]:
+    def take(
+        self,
+    ) -> tuple[list[tuple[str, bytes, bool]], m.Saved | None, list[tuple[str, dict[str, Any]]]]:
         """What to send; the voter's state, where it has to be on disk before what `waits` may leave; what happened."""
         out, self.out = self.out, []
         events, self.events = self.events, []
--- a/stepknot/ownership/owner.py
+++ b/stepknot/ownership/owner.py
@@ -72,8 +72,13 @@
         """`wanted`: nobody is known to own the job, and it is this broker's turn to."""
         if self.phase is Phase.OWNING and now >= self.until:
             self.stop(now, "its lease ran out before a majority renewed it")
-        if self.phase is Phase.CLAIMING and now >= self.claimed_at + CLAIM_TIME * self.settings.lease:
-            self.give_up(now, f"{len(self.grants)} of {len(self.settings.voters)} voters granted it in time")
+        if (
+            self.phase is Phase.CLAIMING
+            and now >= self.claimed_at + CLAIM_TIME * self.settings.lease
+        ):
+            self.give_up(
+                now, f"{len(self.grants)} of {len(self.settings.voters)} voters granted it in time"
+            )
         if self.phase is Phase.IDLE and wanted and now >= self.next_claim:
             self.claim(now)
         if self.phase is Phase.CLAIMING and now >= self.resend_at:
@@ -87,14 +92,27 @@
         self.known_epoch = max(self.known_epoch, self.epoch) + 1
         self.epoch, self.released = self.known_epoch, released
         self.bypassed = False
-        self.phase, self.claimed_at, self.resend_at = Phase.CLAIMING, now, now + REPEAT * self.settings.lease
-        self.grants, self.refusals, self.numbers, self.pending, self.committed, self.step = {}, {}, {}, None, None, 0
+        self.phase, self.claimed_at, self.resend_at = (
+            Phase.CLAIMING,
+            now,
+            now + REPEAT * self.settings.lease,
+        )
+        self.grants, self.refusals, self.numbers, self.pending, self.committed, self.step = (
+            {},
+            {},
+            {},
+            None,
+            None,
+            0,
+        )
         self.send(m.Claim(self.job, self.epoch, released), self.settings.voters)
 
     def give_up(self, now: float, why: str, wait: float = 0.0) -> None:
         """Of a claim. Who granted it need not hold it for a lease; two that duel try again at times that differ."""
-        self.send(m.Yield(self.job, self.epoch), tuple(each for each in self.settings.voters
-                                                       if each not in self.refusals))
+        self.send(
+            m.Yield(self.job, self.epoch),
+            tuple(each for each in self.settings.voters if each not in self.refusals),
+        )
         self.phase, self.why = Phase.IDLE, why
         pause = BACKOFF * self.settings.lease * 2 ** min(self.tries, DOUBLINGS)
         self.tries += 1
@@ -138,7 +156,9 @@
         if now < self.renew_at:
             return
         if self.bypassed and self.pending is None and self.committed is not None:
-            self.claim(now)  # its leases are this process's own: all voters grant it at once, and each counts then
+            self.claim(
+                now
+            )  # its leases are this process's own: all voters grant it at once, and each counts then
             return
         self.renew_at = now + self.settings.renew
         self.number += 1
@@ -146,7 +166,9 @@
         self.numbers.pop(self.number - RENEWALS, None)
         done = self.committed.step if self.committed is not None else 0
         self.send(m.Renew(self.job, self.epoch, self.number, done), tuple(self.grants))
-        self.send(m.Claim(self.job, self.epoch, self.released), self.missing())  # who was away may join the others
+        self.send(
+            m.Claim(self.job, self.epoch, self.released), self.missing()
+        )  # who was away may join the others
 
     def missing(self) -> tuple[str, ...]:
         return tuple(each for each in self.settings.voters if each not in self.grants)
@@ -155,11 +177,16 @@
 
     def receive(self, now: float, voter: str, message: Any) -> None:
         """From a voter, of this job."""
-        if voter in self.settings.voters and (answer := self.answers.get(type(message))) is not None:
+        if (
+            voter in self.settings.voters
+            and (answer := self.answers.get(type(message))) is not None
+        ):
             getattr(self, answer)(now, voter, message)
 
     def on_granted(self, now: float, voter: str, grant: m.Granted) -> None:
-        if grant.epoch != self.epoch or self.phase is Phase.IDLE:  # given up meanwhile: it need not hold it
+        if (
+            grant.epoch != self.epoch or self.phase is Phase.IDLE
+        ):  # given up meanwhile: it need not hold it
             self.send(m.Yield(self.job, grant.epoch), (voter,))
             return
         if self.phase is Phase.OWNING:
@@ -172,8 +199,15 @@
         able = sound(self.grants)
         if len(able) >= self.settings.majority:
             self.grants = {each: self.grants[each] for each in able}
-            self.base = max((each.held for each in self.grants.values()), key=lambda held: held.version)
-            self.phase, self.until, self.since, self.tries = Phase.OWNING, self.claimed_at + self.settings.own, now, 0
+            self.base = max(
+                (each.held for each in self.grants.values()), key=lambda held: held.version
+            )
+            self.phase, self.until, self.since, self.tries = (
+                Phase.OWNING,
+                self.claimed_at + self.settings.own,
+                now,
+                0,
+            )
             self.renew_at = now + self.settings.renew
             self.news.append("owning")
             # What the last owner left may be on a minority only: it counts once it is written anew.
@@ -184,7 +218,11 @@
         if voter in self.grants and grant.life <= self.grants[voter].life:
             return
         newest = max(self.base.version, (self.epoch, self.step))
-        if grant.held.version > newest or grant.held.epoch != self.epoch and grant.held.version > self.base.version:
+        if (
+            grant.held.version > newest
+            or grant.held.epoch != self.epoch
+            and grant.held.version > self.base.version
+        ):
             self.hand_over(now, None, f"{voter} holds a later record than this epoch began with")
             return
         self.grants[voter] = grant
@@ -201,22 +239,35 @@
         self.why = f"{voter}: {refused.why}"
         left = self.settings.majority - (len(self.settings.voters) - len(self.refusals))
         if left > 0:  # no majority can grant it any more, until so many of these would
-            self.give_up(now, self.why, sorted(each.wait for each in self.refusals.values())[left - 1] / 1000)
+            self.give_up(
+                now, self.why, sorted(each.wait for each in self.refusals.values())[left - 1] / 1000
+            )
 
     def on_renewed(self, now: float, voter: str, renewed: m.Renewed) -> None:
-        if renewed.epoch != self.epoch or self.phase is not Phase.OWNING or renewed.number not in self.numbers:
+        if (
+            renewed.epoch != self.epoch
+            or self.phase is not Phase.OWNING
+            or renewed.number not in self.numbers
+        ):
             return
         asked, answers = self.numbers[renewed.number]
         answers[voter] = renewed
-        mine = {each: answer for each, answer in answers.items()
-                if each in self.grants and answer.life == self.grants[each].life}
+        mine = {
+            each: answer
+            for each, answer in answers.items()
+            if each in self.grants and answer.life == self.grants[each].life
+        }
         if len(sound(mine)) >= self.settings.majority:
             self.until = max(self.until, asked + self.settings.own)
 
     def on_written(self, now: float, voter: str, written: m.Written) -> None:
         pending = self.pending
-        if pending is None or (written.epoch, written.step) != pending.held.version or voter not in self.grants or (
-                written.life != self.grants[voter].life):
+        if (
+            pending is None
+            or (written.epoch, written.step) != pending.held.version
+            or voter not in self.grants
+            or (written.life != self.grants[voter].life)
+        ):
             return
         pending.acks[voter] = written
         if len(sound(pending.acks)) >= self.settings.majority:
@@ -224,8 +275,12 @@
             self.news.append("committed")
             self.renew_at = min(self.renew_at, now)  # voters hear that it counts
 
-    answers: dict[type, str] = {m.Granted: "on_granted", m.Refused: "on_refused", m.Renewed: "on_renewed",
-                                m.Written: "on_written"}
+    answers: dict[type, str] = {
+        m.Granted: "on_granted",
+        m.Refused: "on_refused",
+        m.Renewed: "on_renewed",
+        m.Written: "on_written",
+    }
 
     def send(self, message: m.Message, voters: tuple[str, ...]) -> None:
         self.out += [(voter, message) for voter in voters]
--- a/stepknot/ownership/voter.py
+++ b/stepknot/ownership/voter.py
@@ -44,13 +44,17 @@
         self.others = [each for each in settings.voters if each != name]
         self.jobs: dict[str, Job] = {}
         self.life, self.lives = 0, dict.fromkeys(settings.voters, 1)  # each began with its first
-        self.votes_from = math.inf  # renewals are not written down: a lease from the start is waited out
+        self.votes_from = (
+            math.inf
+        )  # renewals are not written down: a lease from the start is waited out
         self.way: Way | None = Way()
         self.unsaved = False
         self.broken = ""  # why its disk cannot be trusted any more; it says nothing then
         if saved is not None:
             self.way, self.life = None, saved.life
-            self.lives |= {voter: max(life, 1) for voter, life in saved.lives.items() if voter in self.lives}
+            self.lives |= {
+                voter: max(life, 1) for voter, life in saved.lives.items() if voter in self.lives
+            }
             for each in saved.jobs:
                 self.jobs[each.job] = Job(each.promised, (each.holder, each.birth), each.held)
 
@@ -59,15 +63,25 @@
             self.votes_from = now + self.settings.hold
 
     def saved(self) -> m.Saved:
-        return m.Saved(self.settings.fleet, self.name, self.life, {**self.lives, self.name: self.life},
-                       [record(name, job) for name, job in sorted(self.jobs.items())])
+        return m.Saved(
+            self.settings.fleet,
+            self.name,
+            self.life,
+            {**self.lives, self.name: self.life},
+            [record(name, job) for name, job in sorted(self.jobs.items())],
+        )
 
     def known(self) -> dict[str, int]:
         return {**self.lives, self.name: self.life}
 
     def receive(self, now: float, who: Process, message: Any) -> m.Message | None:
         answer = self.answers.get(type(message))
-        if answer is None or self.broken or self.way is not None and type(message) not in self.with_no_memory:
+        if (
+            answer is None
+            or self.broken
+            or self.way is not None
+            and type(message) not in self.with_no_memory
+        ):
             return None
         found: m.Message | None = getattr(self, answer)(now, who, message)
         return found
@@ -77,13 +91,21 @@
     def on_claim(self, now: float, who: Process, claim: m.Claim) -> m.Message:
         job = self.jobs.get(claim.job)
         if job is None and len(self.jobs) >= m.MOST_JOBS:
-            return m.Refused(claim.job, claim.epoch, 0, 60_000, f"{m.MOST_JOBS} jobs are known here already")
+            return m.Refused(
+                claim.job, claim.epoch, 0, 60_000, f"{m.MOST_JOBS} jobs are known here already"
+            )
         job = job or Job()
         if claim.epoch < job.promised or claim.epoch == job.promised and who != job.holder:
             return self.refuse(now, claim, job, "a later epoch is promised")
         if claim.epoch > job.promised:
-            if who != job.holder and claim.released != job.promised and now < max(job.until, self.votes_from):
-                return self.refuse(now, claim, job, f"{job.holder[0] or 'an earlier owner'}'s lease may still run")
+            if (
+                who != job.holder
+                and claim.released != job.promised
+                and now < max(job.until, self.votes_from)
+            ):
+                return self.refuse(
+                    now, claim, job, f"{job.holder[0] or 'an earlier owner'}'s lease may still run"
+                )
             job.promised, job.holder, self.unsaved = claim.epoch, who, True
             self.jobs[claim.job] = job
         job.until = now + self.settings.hold
@@ -96,7 +118,9 @@
     def on_renew(self, now: float, who: Process, renew: m.Renew) -> m.Message | None:
         job = self.jobs.get(renew.job)
         if job is None or job.promised != renew.epoch or job.holder != who:
-            return m.Refused(renew.job, renew.epoch, job.promised if job else 0, 0, "not promised here")
+            return m.Refused(
+                renew.job, renew.epoch, job.promised if job else 0, 0, "not promised here"
+            )
         job.until = now + self.settings.hold
         if job.held.epoch == renew.epoch and job.held.step >= renew.committed:
             job.committed = max(job.committed, renew.committed)
@@ -105,8 +129,15 @@
     def on_write(self, now: float, who: Process, write: m.Write) -> m.Message | None:
         """Only under the epoch that this voter granted, in this life (invariant 4)."""
         job, held = self.jobs.get(write.job), write.held
-        if job is None or job.promised != held.epoch or job.holder != who or write.life != self.life:
-            return m.Refused(write.job, held.epoch, job.promised if job else 0, 0, "not granted here")
+        if (
+            job is None
+            or job.promised != held.epoch
+            or job.holder != who
+            or write.life != self.life
+        ):
+            return m.Refused(
+                write.job, held.epoch, job.promised if job else 0, 0, "not granted here"
+            )
         if held.version > job.held.version:
             if held.epoch != job.held.epoch:
                 job.committed = 0
@@ -133,7 +164,9 @@
         if recall.life > self.lives[who[0]]:
             self.lives[who[0]], self.unsaved = recall.life, True
         later = sorted(name for name in self.jobs if name > recall.after)
-        return m.Recalled(recall.life, recall.after, record(later[0], self.jobs[later[0]]) if later else None)
+        return m.Recalled(
+            recall.life, recall.after, record(later[0], self.jobs[later[0]]) if later else None
+        )
 
     # --- memory lost: its own
 
@@ -145,7 +178,11 @@
         way.ask_at = now + self.settings.lease / 10
         if not way.life:
             return [(each, m.AskLife()) for each in self.others]
-        return [(each, m.Recall(way.life, way.after.get(each, ""))) for each in self.others if each not in way.done]
+        return [
+            (each, m.Recall(way.life, way.after.get(each, "")))
+            for each in self.others
+            if each not in way.done
+        ]
 
     def on_tell_life(self, now: float, who: Process, told: m.TellLife) -> None:
         """A life that finished its way back is known to a majority of the others: any two such majorities meet."""
@@ -174,13 +211,24 @@
     def learn(self, told: m.JobRecord) -> None:
         job = self.jobs.setdefault(told.job, Job())
         if told.promised > job.promised:
-            job.promised, job.holder = told.promised, ("", 0)  # not by this voter: it renews and accepts nothing of it
+            job.promised, job.holder = (
+                told.promised,
+                ("", 0),
+            )  # not by this voter: it renews and accepts nothing of it
         if told.held.version > job.held.version:
             job.held = told.held
 
     answers: dict[type, str] = {
-        m.Claim: "on_claim", m.Renew: "on_renew", m.Write: "on_write", m.Yield: "on_yield", m.Ask: "on_ask",
-        m.AskLife: "on_ask_life", m.Recall: "on_recall", m.TellLife: "on_tell_life", m.Recalled: "on_recalled"}
+        m.Claim: "on_claim",
+        m.Renew: "on_renew",
+        m.Write: "on_write",
+        m.Yield: "on_yield",
+        m.Ask: "on_ask",
+        m.AskLife: "on_ask_life",
+        m.Recall: "on_recall",
+        m.TellLife: "on_tell_life",
+        m.Recalled: "on_recalled",
+    }
     with_no_memory = (m.TellLife, m.Recalled)
 
 
--- a/stepknot/peers/errands.py
+++ b/stepknot/peers/errands.py
@@ -14,7 +14,9 @@
 class Errands:
     def __init__(self, period: float) -> None:
         self.period = period
-        self.askers: dict[str, dict[str, float]] = {}  # by the silent member: who asked, and when silence is told
+        self.askers: dict[
+            str, dict[str, float]
+        ] = {}  # by the silent member: who asked, and when silence is told
         self.pinged: dict[str, float] = {}  # when, last
         self.since, self.sent = -math.inf, 0
 
--- a/stepknot/peers/losses.py
+++ b/stepknot/peers/losses.py
@@ -20,7 +20,8 @@
     """Members that are suspect, or died so lately that it may be one loss: of half it is not for one to judge."""
     since = now - LATELY * settings.dead_after
     return table.counts[State.SUSPECT] + sum(
-        table.why[name][0] > since for name in table.gone if table.records[name].state is State.DEAD)
+        table.why[name][0] > since for name in table.gone if table.records[name].state is State.DEAD
+    )
 
 
 def many_lost(table: Table, settings: PeerSettings, now: float) -> bool:
@@ -34,13 +35,17 @@
     return 2 * alike > len(heard)
 
 
-def why_isolated(table: Table, watched: Iterable[Watched], settings: PeerSettings, now: float) -> str:
+def why_isolated(
+    table: Table, watched: Iterable[Watched], settings: PeerSettings, now: float
+) -> str:
     """Why this member has to take itself for cut off; empty: it need not."""
     after = settings.suspect_after
     edges = [each for each in watched if now - each.since > after]
     heard = sum(now - each.heard <= after for each in edges)
     hear_me = sum(now - each.hears_me <= after + settings.period for each in edges)
-    if edges and 2 * (hear_me + 1) <= len(edges) + 1:  # who is not heard here cannot say that it hears me either
+    if (
+        edges and 2 * (hear_me + 1) <= len(edges) + 1
+    ):  # who is not heard here cannot say that it hears me either
         return f"of {len(edges)} neighbours {heard} are heard, and {hear_me} hear it"
     here, gone = table.counts[State.ALIVE] + table.counts[State.JOINING], lost(table, settings, now)
     if gone and here <= gone:
--- a/stepknot/peers/members.py
+++ b/stepknot/peers/members.py
@@ -58,7 +58,10 @@
 SUSPECTS_BEAT = 4  # periods between two beats to a suspect
 KNOCK_MOST = 2.0  # seconds between two tries of a joining member at the most
 SYNC = 4  # periods between two questions about the table: one takes as much as half a second's rate
-ANSWERS, BEATS = 0.25, 1.0  # of the burst: what answers, and beats in their time, may take beyond what is saved
+ANSWERS, BEATS = (
+    0.25,
+    1.0,
+)  # of the burst: what answers, and beats in their time, may take beyond what is saved
 # Datagrams that a question about the silent leaves: more than a repair, which leaves one and is one. It is repairs that
 # end a storm; where questions came first, a third lost at once kept all members asking for good.
 QUESTION_LEAVES = 3
@@ -117,7 +120,9 @@
         for name, watched in self.watched.items():
             if now >= watched.beat_at:
                 self.beat(now, name, borrow=BEATS)
-                slower = 1 if name in self.neighbours else SUSPECTS_BEAT  # its own are answered at once anyway
+                slower = (
+                    1 if name in self.neighbours else SUSPECTS_BEAT
+                )  # its own are answered at once anyway
                 watched.beat_at = max(watched.beat_at + slower * self.settings.period, now)
         self.consider_isolation(now)
         self.tell_of_silence(now)
@@ -219,10 +224,15 @@
                 self.counters["met an older namesake"] += 1
                 self.emit(now, record.address, wire.News([self.own]))
         elif not self.joined or record.state in GONE or record.address == self.own.address:
-            self.take_epoch(now, record.epoch, "an earlier process had this name")  # no other one can be there now
+            self.take_epoch(
+                now, record.epoch, "an earlier process had this name"
+            )  # no other one can be there now
         else:
-            self.step_aside(now, f"another process took this name: epoch {record.epoch} at "
-                                 f"{record.host}:{record.port}")
+            self.step_aside(
+                now,
+                f"another process took this name: epoch {record.epoch} at "
+                f"{record.host}:{record.port}",
+            )
 
     def step_aside(self, now: float, why: str) -> None:
         self.stepped_aside = True
@@ -265,17 +275,23 @@
         """Watch those that the rings name now."""
         self.rewire_due = False
         here = self.table.here
-        nearest, between = self.rings.around(self.own.name, lambda name: here[name].state is State.SUSPECT)
+        nearest, between = self.rings.around(
+            self.own.name, lambda name: here[name].state is State.SUSPECT
+        )
         self.neighbours = nearest
         wanted = nearest | between
         self.watched = {name: each for name, each in self.watched.items() if name in wanted}
         for name in wanted:
             if name not in self.watched:
-                self.watched[name] = Watched(now, beat_at=now + self.random.random() * self.settings.period)
+                self.watched[name] = Watched(
+                    now, beat_at=now + self.random.random() * self.settings.period
+                )
 
     # --- out
 
-    def emit(self, now: float, address: Address, message: wire.Message, borrow: float = 0.0) -> bool:
+    def emit(
+        self, now: float, address: Address, message: wire.Message, borrow: float = 0.0
+    ) -> bool:
         """Send, if the rate allows it or so much of the burst may be borrowed."""
         data = wire.encode(self.settings.fleet, self.own, message)
         if len(data) > wire.MOST_BYTES or not self.rate.grant(now, len(data), borrow):
@@ -288,10 +304,18 @@
 
     def beat(self, now: float, name: str, reply: bool = False, borrow: float = ANSWERS) -> None:
         record, watched = self.table.records[name], self.watched.get(name)
-        heard = -1 if watched is None or watched.heard == -math.inf else int((now - watched.heard) * 1000)
+        heard = (
+            -1
+            if watched is None or watched.heard == -math.inf
+            else int((now - watched.heard) * 1000)
+        )
         held = record.incarnation if record.state in (State.SUSPECT, State.DEAD) else -1
-        self.emit(now, record.address, wire.Beat(min(heard, 2**31 - 1), self.table.digest, held, reply,
-                                                 self.isolated), borrow)
+        self.emit(
+            now,
+            record.address,
+            wire.Beat(min(heard, 2**31 - 1), self.table.digest, held, reply, self.isolated),
+            borrow,
+        )
 
     def sign_of(self, now: float, name: str) -> wire.Sign:
         """What was heard here of a member that is on the table."""
@@ -304,8 +328,14 @@
         if record is not None and signs:
             self.emit(now, record.address, wire.Tell(signs), borrow)
 
-    def send_records(self, now: float, address: Address, records: list[Record], borrow: float = 0.0,
-                     whole: bool = False) -> None:
+    def send_records(
+        self,
+        now: float,
+        address: Address,
+        records: list[Record],
+        borrow: float = 0.0,
+        whole: bool = False,
+    ) -> None:
         """In as many datagrams as that takes, as far as the rate allows."""
         while records:
             news, count = self.pack(now, records, whole)
@@ -320,7 +350,9 @@
         for count, record in enumerate(records):
             identity, since = self.table.known[record.name]
             fresh = now < since + self.settings.suspect_after
-            word = record if whole or fresh else wire.Short(identity, record.incarnation, record.state)
+            word = (
+                record if whole or fresh else wire.Short(identity, record.incarnation, record.state)
+            )
             room -= wire.size_of(word)
             if room < 0 or count == wire.WORDS:
                 return news, count
@@ -332,7 +364,9 @@
     def on_beat(self, now: float, sender: Record, beat: wire.Beat) -> None:
         watched = self.watched.get(sender.name)
         if beat.held >= 0:
-            self.prove(now, msgspec.structs.replace(self.own, incarnation=beat.held, state=State.DEAD))
+            self.prove(
+                now, msgspec.structs.replace(self.own, incarnation=beat.held, state=State.DEAD)
+            )
         if watched is not None:
             if beat.heard >= 0:
                 watched.hears_me = max(watched.hears_me, now - beat.heard / 1000)
@@ -341,7 +375,11 @@
             else:
                 watched.differs_since = min(watched.differs_since, now)
         held = self.table.records[sender.name].state
-        if beat.reply or held in (State.SUSPECT, State.DEAD) and (watched is None or now >= watched.beat_at):
+        if (
+            beat.reply
+            or held in (State.SUSPECT, State.DEAD)
+            and (watched is None or now >= watched.beat_at)
+        ):
             self.beat(now, sender.name)
             if watched is not None:
                 watched.beat_at = now + self.settings.period
@@ -354,13 +392,17 @@
         self.tell(now, sender.name, fresh)
         for sign in signs:
             if sign not in fresh and self.errands.take(now, sender.name, sign.name):
-                self.beat(now, sign.name, reply=True)  # its silence says something only if it was asked
+                self.beat(
+                    now, sign.name, reply=True
+                )  # its silence says something only if it was asked
 
     def tell_of_silence(self, now: float) -> None:
         """Those that were pinged for others and did not answer in time."""
         for asker, names in self.errands.expired(now).items():
             known = [name for name in names if name in self.table.records]
-            self.tell(now, asker, [self.sign_of(now, name) for name in known[:wire.ASKED]], borrow=0.0)
+            self.tell(
+                now, asker, [self.sign_of(now, name) for name in known[: wire.ASKED]], borrow=0.0
+            )
 
     def on_tell(self, now: float, sender: Record, told: wire.Tell) -> None:
         for sign in told.signs:
@@ -396,7 +438,9 @@
             if name is None:
                 lacking.append(word.identity)
                 continue
-            record = msgspec.structs.replace(self.table.records[name], incarnation=word.incarnation, state=word.state)
+            record = msgspec.structs.replace(
+                self.table.records[name], incarnation=word.incarnation, state=word.state
+            )
             if name == self.own.name:
                 self.prove(now, record)
             else:
@@ -407,24 +451,41 @@
     def on_need(self, now: float, sender: Record, need: wire.Need) -> None:
         names = dict.fromkeys(self.table.identities.get(each, "") for each in need.identities)
         records = [self.table.records[name] for name in names if name]
-        self.send_records(now, sender.address, records[:wire.RECORDS], whole=True)
-        self.send_records(now, sender.address, self.table.printed(need.prints)[:wire.WORDS], self.bulk)
+        self.send_records(now, sender.address, records[: wire.RECORDS], whole=True)
+        self.send_records(
+            now, sender.address, self.table.printed(need.prints)[: wire.WORDS], self.bulk
+        )
 
     def on_join(self, now: float, sender: Record, join: wire.Join) -> None:
         """Its own name first; of the others as many as one datagram holds, the rest by comparing."""
         others = [each for each in self.table.here.values() if each.name != sender.name]
         first = self.random.sample(others, min(len(others), wire.RECORDS - 2))
-        self.send_records(now, sender.address, [self.table.records[sender.name], self.own, *first], ANSWERS, whole=True)
+        self.send_records(
+            now,
+            sender.address,
+            [self.table.records[sender.name], self.own, *first],
+            ANSWERS,
+            whole=True,
+        )
 
     def on_sync(self, now: float, sender: Record, sync: wire.Sync) -> None:
         found, lacking = self.table.missing(sync.first, sync.last, sync.prints)
         self.random.shuffle(found)  # what the rate cuts off is other records each time
         self.send_records(now, sender.address, found, self.bulk)
         if lacking:
-            self.emit(now, sender.address, wire.Need(prints=b"".join(lacking[:wire.WORDS])), self.bulk)
-
-    handlers: dict[type, Any] = {wire.Beat: on_beat, wire.Ask: on_ask, wire.Tell: on_tell, wire.News: on_news,
-                                 wire.Join: on_join, wire.Sync: on_sync, wire.Need: on_need}
+            self.emit(
+                now, sender.address, wire.Need(prints=b"".join(lacking[: wire.WORDS])), self.bulk
+            )
+
+    handlers: dict[type, Any] = {
+        wire.Beat: on_beat,
+        wire.Ask: on_ask,
+        wire.Tell: on_tell,
+        wire.News: on_news,
+        wire.Join: on_join,
+        wire.Sync: on_sync,
+        wire.Need: on_need,
+    }
 
     # --- what is done in time
 
@@ -451,12 +512,20 @@
         settings, watched, record = self.settings, self.watched[name], self.table.records[name]
         silent = watched.silent(now)
         if record.state is not State.SUSPECT:
-            if silent > settings.suspect_after and self.awake(now) and confirmed(watched, settings, len(others), now):
+            if (
+                silent > settings.suspect_after
+                and self.awake(now)
+                and confirmed(watched, settings, len(others), now)
+            ):
                 self.condemn(now, record, State.SUSPECT, silent)
         elif now - self.table.why[name][0] < settings.suspect_after:
             return  # it must hear of the suspicion, and have time to prove itself, however long it was silent here
-        elif silent > settings.dead_after and self.awake(now) and confirmed(watched, settings, len(others), now) and (
-                not self.isolated and self.agrees(now, watched, len(others))):
+        elif (
+            silent > settings.dead_after
+            and self.awake(now)
+            and confirmed(watched, settings, len(others), now)
+            and (not self.isolated and self.agrees(now, watched, len(others)))
+        ):
             self.condemn(now, record, State.DEAD, silent)
             self.consider_isolation(now)  # the one that went may be the one too many
 
@@ -469,20 +538,30 @@
     def others(self) -> list[str]:
         """Who may be asked about a silent member: those not suspect, nor silent here for as long as one that is."""
         after, watched = self.settings.suspect_after, self.watched
-        return [name for name, record in self.table.here.items() if record.state is State.ALIVE
-                and name != self.own.name
-                and (name not in watched or watched[name].silent(self.ticked) <= after)]
+        return [
+            name
+            for name, record in self.table.here.items()
+            if record.state is State.ALIVE
+            and name != self.own.name
+            and (name not in watched or watched[name].silent(self.ticked) <= after)
+        ]
 
     def ask(self, now: float, silent: list[str]) -> None:
         """The silent ones themselves, then others: half of them such as are heard here, and so can answer."""
-        records = self.table.records  # from inside a cut nothing more can be found out about suspects
-        due = [name for name in silent if now >= self.watched[name].ask_at
-               and not (self.isolated and records[name].state is State.SUSPECT)]
+        records = (
+            self.table.records
+        )  # from inside a cut nothing more can be found out about suspects
+        due = [
+            name
+            for name in silent
+            if now >= self.watched[name].ask_at
+            and not (self.isolated and records[name].state is State.SUSPECT)
+        ]
         if not due or now < self.ask_at:
             return
         self.ask_at = now + self.settings.period  # what comes due meanwhile goes in one question
         due.sort(key=lambda name: self.watched[name].ask_at)
-        for name in (names := due[:wire.ASKED]):
+        for name in (names := due[: wire.ASKED]):
             self.watched[name].ask_at = now + 2 * self.settings.period
             if name in self.neighbours:
                 self.beat(now, name, reply=True)
@@ -509,8 +588,11 @@
         settings = self.settings
         if not many_lost(self.table, settings, now):
             return True
-        return (watched.silent(now) > 2 * settings.dead_after and widely_confirmed(watched, settings, others)
-                and views_alike(self.watched.values(), now - settings.suspect_after))
+        return (
+            watched.silent(now) > 2 * settings.dead_after
+            and widely_confirmed(watched, settings, others)
+            and views_alike(self.watched.values(), now - settings.suspect_after)
+        )
 
     @property
     def isolated(self) -> bool:
@@ -533,7 +615,11 @@
         """Ask one neighbour whose view differs for what differs: news get lost, and this finds them."""
         if now < self.sync_at:
             return
-        differ = [name for name, each in self.watched.items() if now - each.differs_since > self.settings.period]
+        differ = [
+            name
+            for name, each in self.watched.items()
+            if now - each.differs_since > self.settings.period
+        ]
         if differ:
             self.sync_at = now + SYNC * self.settings.period
             address = self.table.records[self.random.choice(differ)].address
@@ -552,26 +638,40 @@
         names = [name for name in picked if name in self.table.records]
         news, count = self.pack(now, [self.table.records[name] for name in names])
         fanout = self.news.fanout(now, self.settings.fanout)
-        sent = [self.emit(now, member.address, news)
-                for member in self.random.sample(others, min(len(others), fanout))]
+        sent = [
+            self.emit(now, member.address, news)
+            for member in self.random.sample(others, min(len(others), fanout))
+        ]
         if any(sent) or not sent:  # what the rate held back of a round is not made up for
-            self.news.went([*(name for name in picked if name not in self.table.records), *names[:count]])
+            self.news.went(
+                [*(name for name in picked if name not in self.table.records), *names[:count]]
+            )
 
     # --- what others are told of it
 
     def count(self, now: float) -> Counts:
         counts, settings = self.table.counts, self.settings
         apart = now - self.isolated_since if self.isolated else 0.0
-        new = now < self.started + settings.dead_after  # what it was told of others it had no time to see for itself
-        sure = self.joined and not (new or self.isolated or self.stepped_aside) and self.awake(now) and (
-            not self.neighbours or now - self.agreed <= settings.dead_after)
+        new = (
+            now < self.started + settings.dead_after
+        )  # what it was told of others it had no time to see for itself
+        sure = (
+            self.joined
+            and not (new or self.isolated or self.stepped_aside)
+            and self.awake(now)
+            and (not self.neighbours or now - self.agreed <= settings.dead_after)
+        )
         if new or self.isolated or not self.awake(now):
-            least = 1 + sum(now - each.heard <= settings.suspect_after for each in self.watched.values())
+            least = 1 + sum(
+                now - each.heard <= settings.suspect_after for each in self.watched.values()
+            )
         else:
             least = counts[State.ALIVE]
         most = sum(counts) - counts[State.LEFT]
         if apart > settings.tombstone / 2:
             most = UNBOUNDED
         elif not sure or now < self.started + settings.tombstone:
-            most = max(most, settings.configured)  # who is new was not told of those that died before, and may live on
+            most = max(
+                most, settings.configured
+            )  # who is new was not told of those that died before, and may live on
         return Counts(min(least, most), most, sure)
--- a/stepknot/peers/model.py
+++ b/stepknot/peers/model.py
@@ -68,7 +68,9 @@
     period: float = 0.5  # between two beats to one watched member
     rings: int = 4  # each gives a member two that it watches, and that watch it
     pause: float = 5.0  # a member that stands still for this long is not taken for dead
-    helpers: int = 4  # others asked about a silent member, each two periods; twice as many once it is suspect
+    helpers: int = (
+        4  # others asked about a silent member, each two periods; twice as many once it is suspect
+    )
     proofs: int = 3  # others that must have nothing fresher before a member is suspect or dead
     fanout: int = 3  # members that news are pushed to in a round
     rounds: int = 2
--- a/stepknot/peers/questions.py
+++ b/stepknot/peers/questions.py
@@ -18,20 +18,24 @@
 
 
 class Questions:
-    def __init__(self, settings: PeerSettings, table: Table, rings: Rings, chance: random.Random) -> None:
+    def __init__(
+        self, settings: PeerSettings, table: Table, rings: Rings, chance: random.Random
+    ) -> None:
         self.settings, self.table, self.rings, self.random = settings, table, rings, chance
 
-    def helpers_for(self, names: list[str], others: list[str], watched: Mapping[str, Watched]) -> list[str]:
+    def helpers_for(
+        self, names: list[str], others: list[str], watched: Mapping[str, Watched]
+    ) -> list[str]:
         """Whom of the others to ask about these: who told of a sign last, some that watch them, some that are heard
         here and so can answer, and the rest in turn; twice `helpers` at the most."""
         count = self.settings.helpers
         heard = [name for name in others if name in watched]
         tellers = dict.fromkeys(watched[name].teller for name in names)
         asked = dict.fromkeys(name for name in others if name in tellers)
-        asked |= dict.fromkeys(self.watchers_of(names, others)[:count // 2])
+        asked |= dict.fromkeys(self.watchers_of(names, others)[: count // 2])
         asked |= dict.fromkeys(self.random.sample(heard, min(len(heard), count // 2)))
         asked |= dict.fromkeys(self.in_turn(names, others, watched)[:count])
-        return list(asked)[:2 * count]
+        return list(asked)[: 2 * count]
 
     def watchers_of(self, names: list[str], others: list[str]) -> list[str]:
         """Some of those that watch the silent ones: if anybody has a younger sign of life, it is they."""
@@ -43,7 +47,9 @@
             found += self.random.sample(able, min(len(able), self.settings.helpers // 2))
         return found
 
-    def in_turn(self, names: list[str], others: list[str], watched: Mapping[str, Watched]) -> list[str]:
+    def in_turn(
+        self, names: list[str], others: list[str], watched: Mapping[str, Watched]
+    ) -> list[str]:
         """All others at random, those first that said nothing of these, or longest ago: whoever has a way to them is
         found within few rounds."""
         told_at: dict[str, float] = {}
--- a/stepknot/peers/rings.py
+++ b/stepknot/peers/rings.py
@@ -36,7 +36,9 @@
         for ring, own in zip(self.rings, self.places.pop(name, ()), strict=False):
             del ring[bisect_left(ring, own)]
 
-    def around(self, name: str, passed: Callable[[str], bool]) -> tuple[dict[str, None], dict[str, None]]:
+    def around(
+        self, name: str, passed: Callable[[str], bool]
+    ) -> tuple[dict[str, None], dict[str, None]]:
         """The nearest that are not `passed` in all directions, and those passed on the way."""
         nearest: dict[str, None] = {}
         between: dict[str, None] = {}
--- a/stepknot/peers/table.py
+++ b/stepknot/peers/table.py
@@ -19,7 +19,9 @@
 
 def digest_of(record: Record) -> int:
     text = f"{record.name}\n{record.host}\n{record.port}\n{record.rank}"
-    return int.from_bytes(blake2b(text.encode(), digest_size=8).digest()) >> 2  # the wire has 62 bits of it
+    return (
+        int.from_bytes(blake2b(text.encode(), digest_size=8).digest()) >> 2
+    )  # the wire has 62 bits of it
 
 
 def identity_of(record: Record) -> int:
@@ -33,7 +35,7 @@
 
 
 def split(prints: bytes) -> dict[bytes, None]:
-    return dict.fromkeys(prints[at:at + 4] for at in range(0, len(prints), 4))
+    return dict.fromkeys(prints[at : at + 4] for at in range(0, len(prints), 4))
 
 
 @lru_cache(4096)
@@ -47,9 +49,13 @@
         self.records: dict[str, Record] = {}
         self.here: dict[str, Record] = {}  # of these the ones not gone
         self.gone: dict[str, float] = {}  # until when the others are remembered, the oldest first
-        self.why: dict[str, tuple[float, str]] = {}  # when the state changed last, and on what evidence
+        self.why: dict[
+            str, tuple[float, str]
+        ] = {}  # when the state changed last, and on what evidence
         self.identities: dict[int, str] = {}  # of each record's process
-        self.known: dict[str, tuple[int, float]] = {}  # its identity, and since when that is known here
+        self.known: dict[
+            str, tuple[int, float]
+        ] = {}  # its identity, and since when that is known here
         self.counts = [0] * len(State)
         self.digest = 0  # of all records here
         self.prints: dict[str, int] = {}  # of each record, gone ones too
@@ -66,15 +72,22 @@
         while last + 1 < BUCKETS and sizes[last + 1] <= room:
             last += 1
             room -= sizes[last]
-        found = [short(each) for name, each in self.prints.items() if start <= bucket_of(name) <= last]
+        found = [
+            short(each) for name, each in self.prints.items() if start <= bucket_of(name) <= last
+        ]
         return last, b"".join(found[:PRINTS])
 
     def missing(self, first: int, last: int, prints: bytes) -> tuple[list[Record], list[bytes]]:
         """The records of these buckets that are not among the prints; the prints that are not among these records'."""
         there = split(prints)
-        here = {short(each): name for name, each in self.prints.items() if first <= bucket_of(name) <= last}
+        here = {
+            short(each): name
+            for name, each in self.prints.items()
+            if first <= bucket_of(name) <= last
+        }
         return [self.records[name] for each, name in here.items() if each not in there], [
-            each for each in there if each not in here]
+            each for each in there if each not in here
+        ]
 
     def printed(self, prints: bytes) -> list[Record]:
         """The records with these prints."""
--- a/stepknot/peers/watched.py
+++ b/stepknot/peers/watched.py
@@ -19,7 +19,9 @@
     ask_at: float = 0.0
     teller: str = ""  # who told of a sign when nothing was heard here: a way round a cut, asked first next time
     differs_since: float = math.inf  # its view has another digest
-    told: dict[str, float] = field(default_factory=dict)  # who had nothing younger, and when that was said
+    told: dict[str, float] = field(
+        default_factory=dict
+    )  # who had nothing younger, and when that was said
 
     def note(self, at: float, by: str) -> None:
         if at > self.sign:
@@ -31,7 +33,8 @@
     def shift(self, gap: float) -> None:
         """As if the watching member's time had not run on."""
         self.since, self.heard, self.sign, self.hears_me = (
-            each + gap for each in (self.since, self.heard, self.sign, self.hears_me))
+            each + gap for each in (self.since, self.heard, self.sign, self.hears_me)
+        )
         self.told.clear()
 
     def forget_told(self, before: float) -> None:
--- a/stepknot/peers/wire.py
+++ b/stepknot/peers/wire.py
@@ -29,7 +29,9 @@
 
     heard: MILLISECONDS  # ago, when something of yours last came here; -1: never
     digest: DIGEST  # of the sender's view
-    held: Annotated[int, msgspec.Meta(ge=-1, lt=MOST_INCARNATION)] = -1  # the incarnation of yours that is held
+    held: Annotated[
+        int, msgspec.Meta(ge=-1, lt=MOST_INCARNATION)
+    ] = -1  # the incarnation of yours that is held
     #   to be suspect or dead here
     reply: bool = False  # answer at once
     isolated: bool = False  # the sender's word on itself
@@ -70,7 +72,9 @@
 class Need(msgspec.Struct, array_like=True, tag=7, frozen=True):
     """Short news were of processes that are not known here: who are they? And these prints of a `Sync` are not here."""
 
-    identities: Annotated[list[Annotated[int, msgspec.Meta(ge=0, lt=2**62)]], msgspec.Meta(max_length=WORDS)] = []
+    identities: Annotated[
+        list[Annotated[int, msgspec.Meta(ge=0, lt=2**62)]], msgspec.Meta(max_length=WORDS)
+    ] = []
     prints: Annotated[bytes, msgspec.Meta(max_length=4 * WORDS)] = b""
 
 
--- a/stepknot/platform/config.py
+++ b/stepknot/platform/config.py
@@ -75,11 +75,20 @@
 
 # What settings must hold for their figures to mean anything: path, least value.
 LEAST: tuple[tuple[str, float], ...] = (
-    ("settings.balancers", 1), ("settings.family-info.cells", 1), ("settings.family-info.ranges", 1),
-    ("settings.family-info.span", 1), ("settings.family-info.parts-a-call", 1), ("settings.allowed.max-attempts", 1),
-    ("settings.allowed.open-cap", 1), ("settings.allowed.connect-timeout-ns", 1), ("settings.rules.cold-ns", 0),
-    ("settings.rules.fall-ns", 1), ("settings.rules.tip-multiple", 0), ("settings.rules.drain-grace-ns", 0),
-    ("limits.memory_mb", 1), ("limits.sockets", 32),
+    ("settings.balancers", 1),
+    ("settings.family-info.cells", 1),
+    ("settings.family-info.ranges", 1),
+    ("settings.family-info.span", 1),
+    ("settings.family-info.parts-a-call", 1),
+    ("settings.allowed.max-attempts", 1),
+    ("settings.allowed.open-cap", 1),
+    ("settings.allowed.connect-timeout-ns", 1),
+    ("settings.rules.cold-ns", 0),
+    ("settings.rules.fall-ns", 1),
+    ("settings.rules.tip-multiple", 0),
+    ("settings.rules.drain-grace-ns", 0),
+    ("limits.memory_mb", 1),
+    ("limits.sockets", 32),
 )
 
 
@@ -98,19 +107,25 @@
             raise Unreadable(f"{place}.name: {lane['name']!r} is there twice")
         names.add(lane["name"])
         if lane["idempotency"] not in EFFECTS:
-            raise Unreadable(f"{place}.idempotency: expected one of {', '.join(EFFECTS)}, not {lane['idempotency']!r}")
+            raise Unreadable(
+                f"{place}.idempotency: expected one of {', '.join(EFFECTS)}, not {lane['idempotency']!r}"
+            )
         for key in ("slo-ns", "deadline-ns"):
             if type(lane[key]) not in (int, float) or not 0 < lane[key] < math.inf:
                 raise Unreadable(f"{place}.{key}: expected a time over 0, not {lane[key]!r}")
         for key in ("class-floor", "class-need", "class-fetch", "partial-earns"):
             if len(family[key]) < len(settings["lanes"]):
-                raise Unreadable(f"{where}: settings.family-info.{key}: expected one for each of the lanes")
+                raise Unreadable(
+                    f"{where}: settings.family-info.{key}: expected one for each of the lanes"
+                )
 
 
 def load(environment: Mapping[str, str]) -> Config:
     path = environment.get("LB_CONFIG", "")
     if not path:
-        raise Unreadable("LB_CONFIG: expected the path of a JSON file in this variable of the environment")
+        raise Unreadable(
+            "LB_CONFIG: expected the path of a JSON file in this variable of the environment"
+        )
     try:
         data = Path(path).read_bytes()
     except OSError as error:
--- a/stepknot/platform/discovery.py
+++ b/stepknot/platform/discovery.py
@@ -65,21 +65,45 @@
         entries = tuple(read_entry(row, clock_offset) for row in rows)
         if given.get("full") and len({entry.server for entry in entries}) < len(entries):
             raise Unreadable("a whole list that names a node twice")
-        addresses = tuple((row["id"], *address(row["addr"], row["id"])) for row in rows if row.get("addr"))
+        addresses = tuple(
+            (row["id"], *address(row["addr"], row["id"])) for row in rows if row.get("addr")
+        )
         return NodeList(version, bool(given.get("full", False)), entries, addresses)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise Unreadable(f"a list that cannot be read: {type(error).__name__}: {error}") from None
 
 
 def read_entry(row: Any, clock_offset: float) -> ServerEntry:
-    server, cell, state, started = row["id"], row.get("cell", 0), STATES.get(row["state"]), row.get("started_ms", 0)
+    server, cell, state, started = (
+        row["id"],
+        row.get("cell", 0),
+        STATES.get(row["state"]),
+        row.get("started_ms", 0),
+    )
     size = row.get("weight", 1.0)
-    if not isinstance(server, str) or not server or type(cell) is not int or cell < 0 or state is None:
+    if (
+        not isinstance(server, str)
+        or not server
+        or type(cell) is not int
+        or cell < 0
+        or state is None
+    ):
         raise Unreadable(f"a node that cannot be read: {server!r}")
-    if type(started) not in (int, float) or not math.isfinite(started) or type(size) not in (int, float):
+    if (
+        type(started) not in (int, float)
+        or not math.isfinite(started)
+        or type(size) not in (int, float)
+    ):
         raise Unreadable(f"node {server}: started_ms and weight are numbers")
-    return ServerEntry(server, str(row.get("zone", "")), cell, state, float(size),
-                       started / 1000 + clock_offset if started > 0 else 0.0, str(row.get("kind", "")))
+    return ServerEntry(
+        server,
+        str(row.get("zone", "")),
+        cell,
+        state,
+        float(size),
+        started / 1000 + clock_offset if started > 0 else 0.0,
+        str(row.get("kind", "")),
+    )
 
 
 class WatchReader:
@@ -133,8 +157,16 @@
 class Discovery:
     """Follows the list. `on_list` hears of each message, `on_failed` of a watch that failed or ended, and why."""
 
-    def __init__(self, loop: Loop, where: tuple[str, int], name: str, known: NodeList | None, clock_offset: float,
-                 on_list: Callable[[NodeList], None], on_failed: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        where: tuple[str, int],
+        name: str,
+        known: NodeList | None,
+        clock_offset: float,
+        on_list: Callable[[NodeList], None],
+        on_failed: Callable[[str], None],
+    ) -> None:
         self.loop, self.where, self.name, self.clock_offset = loop, where, name, clock_offset
         self.on_list, self.on_failed = on_list, on_failed
         self.version = known.version if known is not None else 0
@@ -188,8 +220,11 @@
     def read(self, link: Link, task: Task | None, until: float) -> Coroutine:
         since, newest = 0 if self.whole else self.version, 0
         host = f"{self.where[0]}:{self.where[1]}"
-        yield from link.send(f"GET /v1/servers?follow=1&since={since} HTTP/1.1\r\nhost: {host}\r\n"
-                             f"user-agent: stepknot/{self.name}\r\n\r\n".encode(), OPENING)
+        yield from link.send(
+            f"GET /v1/servers?follow=1&since={since} HTTP/1.1\r\nhost: {host}\r\n"
+            f"user-agent: stepknot/{self.name}\r\n\r\n".encode(),
+            OPENING,
+        )
         reader = WatchReader()
         while not reader.over:
             data = yield from link.recv(CHUNK, max(until - self.loop.now, 0.0))
--- a/stepknot/platform/frames.py
+++ b/stepknot/platform/frames.py
@@ -67,7 +67,9 @@
     rows = []
     for part, wait in parts:
         pairs = f"d={max(math.ceil(wait * 1000), 1)}" + (f",k={part.key}" if part.key else "")
-        rows.append(b"%s %d %s %d\n%s" % (part.part, part.shard, pairs.encode(), len(part.text), part.text))
+        rows.append(
+            b"%s %d %s %d\n%s" % (part.part, part.shard, pairs.encode(), len(part.text), part.text)
+        )
     return frame(b"R", b"".join(rows))
 
 
@@ -136,18 +138,21 @@
         place = 0
         try:
             while len(data) - place >= 4:
-                length = int.from_bytes(data[place:place + 4], "little")
+                length = int.from_bytes(data[place : place + 4], "little")
                 if not 1 <= length <= MOST:
                     raise Spoilt(f"a frame of {length} bytes")
                 begin, end = place + 4, place + 4 + length
                 if len(data) > begin and data[begin] not in LETTERS:
                     raise Spoilt(f"unknown letter {data[begin]}")
                 if len(data) < end:
-                    if data[begin:begin + 1] == b"Y" and len(data) - begin > MOST_LINE + 1 and (
-                            data.find(b"\n", begin, begin + MOST_LINE + 2) < 0):
+                    if (
+                        data[begin : begin + 1] == b"Y"
+                        and len(data) - begin > MOST_LINE + 1
+                        and (data.find(b"\n", begin, begin + MOST_LINE + 2) < 0)
+                    ):
                         raise Spoilt("a line without an end")
                     break
-                found.append(self.read(data[begin:begin + 1], data[begin + 1:end]))
+                found.append(self.read(data[begin : begin + 1], data[begin + 1 : end]))
                 place = end
         except Spoilt as error:
             self.spoilt, self.kept = str(error), b""
--- a/stepknot/platform/log.py
+++ b/stepknot/platform/log.py
@@ -32,6 +32,7 @@
 
 def traced(handle: Handle, log: Callable[..., None]) -> Handle:
     """The module's calls as before, each told by the loop's clock: what it heard and what it wants done, but timers."""
+
     def handled(now: float, events: list[Event]) -> list[Action]:
         actions = handle(now, events)
         heard = [as_row(each) for each in events if type(each) is not TimerDue]
@@ -39,10 +40,13 @@
         if heard or wanted:
             log("decided", now=round(now, 4), heard=heard, wanted=wanted)
         return actions
+
     return handled
 
 
-def make_log(environment: Mapping[str, str], wall: Callable[[], float] = time.time) -> Callable[..., None]:
+def make_log(
+    environment: Mapping[str, str], wall: Callable[[], float] = time.time
+) -> Callable[..., None]:
     quiet = set() if environment.get("STEPKNOT_LOG") in ("debug", "trace") else QUIET
     told: dict[str, tuple[int, int]] = {}  # by event: the second, and how many in it
 
--- a/stepknot/platform/nodes.py
+++ b/stepknot/platform/nodes.py
@@ -64,14 +64,23 @@
     waiting: dict[bytes, OutgoingAttempt] = field(default_factory=dict)  # by part id
     cancelled: dict[bytes, None] = field(default_factory=dict)  # ids that may still be answered
     queue: deque[Frame] = field(default_factory=deque)
-    probes: dict[bytes, OnProbe | None] = field(default_factory=dict)  # by letter; None: nobody waits any more
-    silent_since: float = math.inf  # the first moment at which something was asked that nothing came after
+    probes: dict[bytes, OnProbe | None] = field(
+        default_factory=dict
+    )  # by letter; None: nobody waits any more
+    silent_since: float = (
+        math.inf
+    )  # the first moment at which something was asked that nothing came after
     flushing: bool = False
     ended: bool = False
 
     @property
     def idle(self) -> bool:
-        return self.link is not None and not self.waiting and not self.queue and not any(self.probes.values())
+        return (
+            self.link is not None
+            and not self.waiting
+            and not self.queue
+            and not any(self.probes.values())
+        )
 
     def may_bring(self, part: bytes) -> bool:
         return part in self.waiting or part in self.cancelled
@@ -89,10 +98,23 @@
 class Nodes:
     """All nodes' connections. `streams`: parts that one carries at once; `most`: descriptors they may have in all."""
 
-    def __init__(self, loop: Loop, streams: int, parts_per_call: int, connect_timeout: float, idle: float,
-                 most: int, on_event: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        streams: int,
+        parts_per_call: int,
+        connect_timeout: float,
+        idle: float,
+        most: int,
+        on_event: Callable[..., None],
+    ) -> None:
         self.loop, self.streams, self.parts_per_call = loop, streams, parts_per_call
-        self.connect_timeout, self.idle, self.most, self.on_event = connect_timeout, idle, most, on_event
+        self.connect_timeout, self.idle, self.most, self.on_event = (
+            connect_timeout,
+            idle,
+            most,
+            on_event,
+        )
         self.on_reply: OnReply = nobody
         self.nodes: dict[str, Node] = {}
         self.dirty: dict[Connection, None] = {}  # with something to write at the turn's end
@@ -142,7 +164,7 @@
     def send(self, server: str, attempts: list[OutgoingAttempt]) -> int:
         size, calls = self.parts_per_call, 0
         for place in range(0, len(attempts), size):
-            self.start(server, attempts[place:place + size])
+            self.start(server, attempts[place : place + size])
             calls += 1
         return calls
 
@@ -150,7 +172,9 @@
         conn = self.find(server, attempts)
         if conn is None:
             for attempt in attempts:
-                self.on_reply(attempt, PartReply(Outcome.NOT_CONNECTED, reason="no room for a connection"), {})
+                self.on_reply(
+                    attempt, PartReply(Outcome.NOT_CONNECTED, reason="no room for a connection"), {}
+                )
             return
         frame = Frame(attempts, self.loop.now)
         for attempt in attempts:
@@ -166,8 +190,11 @@
         found = None
         self.close_doubted(node)
         for conn in node.connections:
-            if len(conn.waiting) + len(attempts) <= self.streams and not self.doubted(conn) and not any(
-                    conn.may_bring(each.request.part) for each in attempts):
+            if (
+                len(conn.waiting) + len(attempts) <= self.streams
+                and not self.doubted(conn)
+                and not any(conn.may_bring(each.request.part) for each in attempts)
+            ):
                 if found is None or len(conn.waiting) > len(found.waiting):
                     found = conn
         return found or self.connect(node)
@@ -252,7 +279,11 @@
             on_end(Outcome.NOT_CONNECTED, {})
             return
         self.close_doubted(node)
-        free = [each for each in node.connections if letter not in each.probes and not self.doubted(each)]
+        free = [
+            each
+            for each in node.connections
+            if letter not in each.probes and not self.doubted(each)
+        ]
         sound = any(not self.doubted(each) for each in node.connections)
         conn = free[0] if free else None if sound else self.connect(node)
         if conn is None and not sound:
@@ -335,7 +366,11 @@
                 del conn.waiting[message.part]
                 attempt.call = None
                 payload = message.value if message.outcome is Outcome.SERVED else None
-                self.on_reply(attempt, PartReply(message.outcome, payload, "the node's own word"), message.load)
+                self.on_reply(
+                    attempt,
+                    PartReply(message.outcome, payload, "the node's own word"),
+                    message.load,
+                )
                 return True
             case frames.ProbeAnswered():
                 if message.letter not in conn.probes:
@@ -391,8 +426,10 @@
         while conn.queue:
             for frame in conn.queue:
                 if not frame.data:
-                    frame.data = frames.call([(each.request, each.wait - (now - frame.at)) for each in frame.attempts])
-            data = b"".join(frame.data[frame.sent:] for frame in conn.queue)
+                    frame.data = frames.call(
+                        [(each.request, each.wait - (now - frame.at)) for each in frame.attempts]
+                    )
+            data = b"".join(frame.data[frame.sent :] for frame in conn.queue)
             try:
                 count = link.send_now(data)
             except OSError as error:
--- a/stepknot/platform/requests.py
+++ b/stepknot/platform/requests.py
@@ -58,8 +58,10 @@
     character: where it has a slash that was not escaped, the first parts together name it."""
     path = path.removeprefix("/")
     for end in re.finditer("/|$", path):
-        name = path[:end.start()]
-        kind = classes.get(name) or classes.get(unquote_to_bytes(name.encode("latin-1")).decode("utf-8", "replace"))
+        name = path[: end.start()]
+        kind = classes.get(name) or classes.get(
+            unquote_to_bytes(name.encode("latin-1")).decode("utf-8", "replace")
+        )
         if kind is not None:
             return kind
     return None
@@ -79,14 +81,22 @@
     if kind.effect is not Effect.KEYED:
         key = ""
     elif not ID.match(key):
-        raise BadRequest(400, "idempotency-key: expected one in this class, 64 letters and digits at the most")
+        raise BadRequest(
+            400, "idempotency-key: expected one in this class, 64 letters and digits at the most"
+        )
     remaining = read_time(head.get("x-remaining"))
     parts, text = read_body(request.body, offer.shards)
     for part in parts:
         part.request = Part(f"{name}.{part.shard}".encode(), part.shard, text, key)
     efforts = [part.effort for part in parts]
-    return Ask(kind.name, arrived + min(remaining, kind.deadline), parts, name=name,
-               effort=sum(efforts) if all(efforts) else 0.0, retry=head.get("x-resent") == "1")
+    return Ask(
+        kind.name,
+        arrived + min(remaining, kind.deadline),
+        parts,
+        name=name,
+        effort=sum(efforts) if all(efforts) else 0.0,
+        retry=head.get("x-resent") == "1",
+    )
 
 
 def read_body(data: bytes, shards: int) -> tuple[list[QueryPart], bytes]:
@@ -94,8 +104,12 @@
         body = orjson.loads(data)
     except ValueError:
         raise BadRequest(400, "the body is not JSON") from None
-    if not isinstance(body, dict) or not isinstance(body.get("text"), str) or not isinstance(
-            body.get("segments"), list) or not body["segments"]:
+    if (
+        not isinstance(body, dict)
+        or not isinstance(body.get("text"), str)
+        or not isinstance(body.get("segments"), list)
+        or not body["segments"]
+    ):
         raise BadRequest(400, "expected segments and a text")
     text = body["text"].encode()
     if len(text) > MOST_TEXT:
@@ -106,7 +120,9 @@
     total = math.fsum(part.weight for part in parts)
     if abs(total - 1) > ROUNDING:
         raise BadRequest(400, "the segments' shares do not add up to 1")
-    for part in parts:  # what was rounded on the way would keep all parts together from being the whole
+    for (
+        part
+    ) in parts:  # what was rounded on the way would keep all parts together from being the whole
         part.weight /= total
     return parts, text
 
@@ -130,10 +146,18 @@
 def make_answer(ask: Ask, result: Result) -> Response:
     """The final answer: what is in and whether it is whole; or refused, with advice when to return; or failed."""
     if result.status is Status.ANSWERED:
-        rows = [{"segment": part.shard, "payload": part.answer} for part in ask.first if part.served]
-        return Response(200, orjson.dumps({"all_in": result.whole, "matches": rows}), content_type="application/json")
+        rows = [
+            {"segment": part.shard, "payload": part.answer} for part in ask.first if part.served
+        ]
+        return Response(
+            200,
+            orjson.dumps({"all_in": result.whole, "matches": rows}),
+            content_type="application/json",
+        )
     if result.status is Status.REFUSED:
-        return error_answer(503, "turned away, trying again is harmless", advice(result.retry_after))
+        return error_answer(
+            503, "turned away, trying again is harmless", advice(result.retry_after)
+        )
     return error_answer(500, "given up, it may have run")
 
 
@@ -142,5 +166,7 @@
     return [("retry-after", f"{math.ceil(seconds * 1000) / 1000:.3f}")] if seconds else []
 
 
-def error_answer(status: int, reason: str, headers: list[tuple[str, str]] | None = None) -> Response:
+def error_answer(
+    status: int, reason: str, headers: list[tuple[str, str]] | None = None
+) -> Response:
     return Response(status, orjson.dumps({"error": reason}), headers or [], "application/json")
--- a/stepknot/platform/service.py
+++ b/stepknot/platform/service.py
@@ -28,38 +28,81 @@
 # Bounds of the protocol's own, the same at every deployment. A connection without a request may be ended after two
 # seconds. It is ended soon after: clients hold so many connections and no more, and some ask once and keep theirs.
 REST = 2.05
-LIMITS = HttpLimits(header=8 * 1024, url=1024, body=64 * 1024, first_byte=REST, body_time=REST, idle=REST, write=3.0)
+LIMITS = HttpLimits(
+    header=8 * 1024, url=1024, body=64 * 1024, first_byte=REST, body_time=REST, idle=REST, write=3.0
+)
 CLIENTS_SHARE = 0.6  # of the descriptors; a third is what clients hold for requests
-IDLE_CLIENTS_SHARE = 0.2  # between two requests: who asks anew must find that third not used up by those that stay
+IDLE_CLIENTS_SHARE = (
+    0.2  # between two requests: who asks anew must find that third not used up by those that stay
+)
 OWN = 16  # descriptors for the loop, the listener, discovery and the logs
 STAY = 0.5  # seconds for which new connections still come after SIGTERM
 READY_WITHIN = 2.0  # seconds after which the list as last had must do, also where lists are pushed
-LAST_WORD, FAREWELL = 1.0, 0.2  # seconds at the end for what is being written, and for those that were parted with
-READ_AGAIN = (0.1, 0.2, 0.4, 0.8)  # seconds after which a file that SIGHUP found half written is looked at again
+LAST_WORD, FAREWELL = (
+    1.0,
+    0.2,
+)  # seconds at the end for what is being written, and for those that were parted with
+READ_AGAIN = (
+    0.1,
+    0.2,
+    0.4,
+    0.8,
+)  # seconds after which a file that SIGHUP found half written is looked at again
 
 Log = Callable[..., None]
 
 
 class Service(Life):
-    def __init__(self, config: Config, log: Log, load_again: Callable[[], Config],
-                 clock: Callable[[], float] = time.monotonic, wall: Callable[[], float] = time.time) -> None:
+    def __init__(
+        self,
+        config: Config,
+        log: Log,
+        load_again: Callable[[], Config],
+        clock: Callable[[], float] = time.monotonic,
+        wall: Callable[[], float] = time.time,
+    ) -> None:
         self.config, self.log, self.load_again = config, log, load_again
         chance = random.Random(config.seed)
         self.loop = loop = Loop(clock, chance, on_error=self.on_task_error)
         loop.on_slow_turn = self.on_slow_turn
         settings = config.settings
         self.clock_offset, self.begun = clock() - wall(), loop.now
-        self.nodes = Nodes(loop, config.streams, settings.parts_per_call, config.connect_timeout,
-                           settings.limits.idle_connection, config.sockets - OWN - self.most_clients(), log)
-        self.core = Core(loop, settings, chance.getrandbits(62), self.nodes, log, config.most_open, config.name,
-                         most_open=config.most_open, watch=lambda: self.discovery.ask())
+        self.nodes = Nodes(
+            loop,
+            config.streams,
+            settings.parts_per_call,
+            config.connect_timeout,
+            settings.limits.idle_connection,
+            config.sockets - OWN - self.most_clients(),
+            log,
+        )
+        self.core = Core(
+            loop,
+            settings,
+            chance.getrandbits(62),
+            self.nodes,
+            log,
+            config.most_open,
+            config.name,
+            most_open=config.most_open,
+            watch=lambda: self.discovery.ask(),
+        )
         known = self.read_known()
-        self.discovery = Discovery(loop, config.discovery, config.name, known, self.clock_offset, self.take_list,
-                                   self.list_failed)
+        self.discovery = Discovery(
+            loop,
+            config.discovery,
+            config.name,
+            known,
+            self.clock_offset,
+            self.take_list,
+            self.list_failed,
+        )
         if known is not None:
             self.nodes.take_addresses(known.addresses, True)
             self.core.take_list(as_event(known, ListKind.CACHED))
-        self.core.post(ListReceived(ListKind.CHANGES))  # the first turn: the module asks for the list
+        self.core.post(
+            ListReceived(ListKind.CHANGES)
+        )  # the first turn: the module asks for the list
         self.offer = requests.Offer(settings.classes, config.shards)
         self.open: set[str] = set()  # ids of clients' requests in work
         self.server = Server(loop, *config.listen, self.handle, LIMITS, self.http_error)
@@ -68,7 +111,11 @@
 
     def ready(self) -> bool:
         """Where lists are pushed, a new process is held to what discovery has before it heard of it."""
-        told = not self.config.pushed or self.discovery.heard or self.loop.now >= self.begun + READY_WITHIN
+        told = (
+            not self.config.pushed
+            or self.discovery.heard
+            or self.loop.now >= self.begun + READY_WITHIN
+        )
         return told and not self.stopping
 
     def most_clients(self) -> int:
@@ -130,14 +177,22 @@
     # --- life
 
     def run(self) -> int:
-        self.log("serving", address=f"{self.config.listen[0]}:{self.server.port}", broker=self.config.name)
+        self.log(
+            "serving",
+            address=f"{self.config.listen[0]}:{self.server.port}",
+            broker=self.config.name,
+        )
         self.live(self.reload)
         self.log("stopped", **self.summary())
         return 0
 
     def summary(self) -> dict[str, Any]:
-        return {**self.core.counts, "opened": self.nodes.opened, "spoilt": self.nodes.spoilt,
-                "lag_most": round(self.loop.lag_most, 3)}
+        return {
+            **self.core.counts,
+            "opened": self.nodes.opened,
+            "spoilt": self.nodes.spoilt,
+            "lag_most": round(self.loop.lag_most, 3),
+        }
 
     def reload(self, again: tuple[float, ...] = READ_AGAIN) -> None:
         try:
@@ -155,10 +210,14 @@
         self.server.leaving = True
         yield from self.loop.sleep(STAY)
         self.server.close()
-        longest = max((kind.deadline for kind in self.config.settings.classes.values()), default=0.0)
+        longest = max(
+            (kind.deadline for kind in self.config.settings.classes.values()), default=0.0
+        )
         yield from self.wait_while(longest, lambda: bool(self.core.held))
         self.core.give_up_all()
-        yield from self.wait_while(LAST_WORD, lambda: any(not each.leaving for each in self.server.connections))
+        yield from self.wait_while(
+            LAST_WORD, lambda: any(not each.leaving for each in self.server.connections)
+        )
         yield from self.wait_while(FAREWELL, lambda: bool(self.server.connections))
         self.nodes.close()
         self.loop.stop()
--- a/stepknot/records.py
+++ b/stepknot/records.py
@@ -44,8 +44,12 @@
     asked: bool = False  # a question is out
     answered: float = 0.0  # when the last answer came
     answered_sent: float = 0.0  # when the latest sent of all that was answered was sent
-    unheeded: dict[str, tuple[float, float]] = field(default_factory=dict)  # by class: share lost, when
-    silent_since: float = math.inf  # something was sent there then, or waited on, and nothing came back since
+    unheeded: dict[str, tuple[float, float]] = field(
+        default_factory=dict
+    )  # by class: share lost, when
+    silent_since: float = (
+        math.inf
+    )  # something was sent there then, or waited on, and nothing came back since
     watched: bool = False  # a timer looks at that
     used: float = math.inf  # when a connection there was last used
     gap: float = 0.0  # how long nothing was sent there before the last call
