--- a/stepknot/search/aggs.py
+++ b/stepknot/search/aggs.py
@@ -22,8 +22,20 @@
 DEFAULT_PRECISION, MOST_PRECISION = 3000, 40_000
 MOST_DEPTH = 8
 Result = dict[str, Any]
-CALENDAR = {"1m": "minute", "minute": "minute", "1h": "hour", "hour": "hour", "1d": "day", "day": "day",
-            "1w": "week", "week": "week", "1M": "month", "month": "month", "1y": "year", "year": "year"}
+CALENDAR = {
+    "1m": "minute",
+    "minute": "minute",
+    "1h": "hour",
+    "hour": "hour",
+    "1d": "day",
+    "day": "day",
+    "1w": "week",
+    "week": "week",
+    "1M": "month",
+    "month": "month",
+    "1y": "year",
+    "year": "year",
+}
 FIXED = {"ms": 1, "s": 1000, "m": 60_000, "h": 3_600_000, "d": 86_400_000}
 
 
@@ -71,8 +83,10 @@
         raise ParsingError(f"[{where}] must have exactly one aggregation type")
     kind = kinds[0]
     if kind not in METRICS + BUCKETS:
-        raise ParsingError(f"unknown aggregation type [{kind}] in [{where}]; known: "
-                           + ", ".join(METRICS + BUCKETS))
+        raise ParsingError(
+            f"unknown aggregation type [{kind}] in [{where}]; known: "
+            + ", ".join(METRICS + BUCKETS)
+        )
     if "meta" in body:
         raise unsupported("meta", where)
     for key in ("aggs", "aggregations"):
@@ -83,8 +97,14 @@
     options, here = body[kind], f"{where}.{kind}"
     if kind in METRICS:
         return parse_metric(name, kind, options, here)
-    return {"terms": parse_terms, "histogram": parse_histogram, "date_histogram": parse_date_histogram,
-            "range": parse_range, "filter": parse_filter, "filters": parse_filters}[kind](name, options, here, subs)
+    return {
+        "terms": parse_terms,
+        "histogram": parse_histogram,
+        "date_histogram": parse_date_histogram,
+        "range": parse_range,
+        "filter": parse_filter,
+        "filters": parse_filters,
+    }[kind](name, options, here, subs)
 
 
 def field_of(options: Result, where: str) -> str:
@@ -113,8 +133,17 @@
     size = whole(options, "size", DEFAULT_TERMS, 1, where)
     by_key, ascending = parse_order(options.get("order", {"_count": "desc"}), f"{where}.order")
     shard_size = whole(options, "shard_size", size if by_key else size + size // 2 + 10, 1, where)
-    return Agg(name, "terms", field_of(options, where), size, max(size, shard_size),
-               whole(options, "min_doc_count", 1, 1, where), by_key, ascending, subs=subs)
+    return Agg(
+        name,
+        "terms",
+        field_of(options, where),
+        size,
+        max(size, shard_size),
+        whole(options, "min_doc_count", 1, 1, where),
+        by_key,
+        ascending,
+        subs=subs,
+    )
 
 
 def parse_order(order: Any, where: str) -> tuple[bool, bool]:
@@ -135,8 +164,14 @@
     interval = options.get("interval")
     if not isinstance(interval, (int, float)) or isinstance(interval, bool) or interval <= 0:
         raise ParsingError(f"[{where}.interval] must be a number over 0")
-    return Agg(name, "histogram", field_of(options, where), interval=float(interval),
-               min_doc_count=whole(options, "min_doc_count", 0, 0, where), subs=subs)
+    return Agg(
+        name,
+        "histogram",
+        field_of(options, where),
+        interval=float(interval),
+        min_doc_count=whole(options, "min_doc_count", 0, 0, where),
+        subs=subs,
+    )
 
 
 def parse_date_histogram(name: str, options: Any, where: str, subs: tuple[Agg, ...]) -> Agg:
@@ -151,12 +186,19 @@
         unit = CALENDAR[calendar]
     else:
         digits = str(fixed).rstrip("mshd")
-        scale = FIXED.get(str(fixed)[len(digits):])
+        scale = FIXED.get(str(fixed)[len(digits) :])
         if not digits.isdigit() or scale is None or int(digits) == 0:
             raise ParsingError(f"[{where}.fixed_interval] is malformed: [{fixed}]")
         interval = float(int(digits) * scale)
-    return Agg(name, "date_histogram", field_of(options, where), interval=interval, calendar=unit,
-               min_doc_count=whole(options, "min_doc_count", 0, 0, where), subs=subs)
+    return Agg(
+        name,
+        "date_histogram",
+        field_of(options, where),
+        interval=interval,
+        calendar=unit,
+        min_doc_count=whole(options, "min_doc_count", 0, 0, where),
+        subs=subs,
+    )
 
 
 def parse_range(name: str, options: Any, where: str, subs: tuple[Agg, ...]) -> Agg:
@@ -166,7 +208,9 @@
         each = known(each, f"{where}.ranges", "key", "from", "to")
         low, high = each.get("from"), each.get("to")
         for bound in (low, high):
-            if bound is not None and (not isinstance(bound, (int, float)) or isinstance(bound, bool)):
+            if bound is not None and (
+                not isinstance(bound, (int, float)) or isinstance(bound, bool)
+            ):
                 raise ParsingError(f"[{where}.ranges] needs numbers in [from] and [to]")
         default = f"{'*' if low is None else float(low)}-{'*' if high is None else float(high)}"
         specs.append(RangeSpec(str(each.get("key", default)), low, high))
@@ -174,8 +218,14 @@
         raise ParsingError(f"[{where}.ranges] must not be empty")
     if len({spec.key for spec in specs}) != len(specs):
         raise ParsingError(f"[{where}.ranges] has a key twice")
-    return Agg(name, "range", field_of(options, where), ranges=tuple(specs),
-               keyed=bool(options.get("keyed", False)), subs=subs)
+    return Agg(
+        name,
+        "range",
+        field_of(options, where),
+        ranges=tuple(specs),
+        keyed=bool(options.get("keyed", False)),
+        subs=subs,
+    )
 
 
 def parse_filter(name: str, options: Any, where: str, subs: tuple[Agg, ...]) -> Agg:
@@ -210,18 +260,32 @@
             return {"terms": {"field": agg.field, "size": agg.size, "order": {"_key": "asc"}}}
         case "terms":
             order = {"_key" if agg.by_key else "_count": "asc" if agg.ascending else "desc"}
-            body = {"terms": {"field": agg.field, "size": agg.shard_size, "shard_size": agg.shard_size,
-                              "order": order}}
+            body = {
+                "terms": {
+                    "field": agg.field,
+                    "size": agg.shard_size,
+                    "shard_size": agg.shard_size,
+                    "order": order,
+                }
+            }
         case "histogram":
             body = {"histogram": {"field": agg.field, "interval": agg.interval, "min_doc_count": 1}}
         case "date_histogram":
-            step = {"calendar_interval": agg.calendar} if agg.calendar else {
-                "fixed_interval": f"{int(agg.interval)}ms"}
+            step = (
+                {"calendar_interval": agg.calendar}
+                if agg.calendar
+                else {"fixed_interval": f"{int(agg.interval)}ms"}
+            )
             body = {"date_histogram": {"field": agg.field, "min_doc_count": 1, **step}}
         case "range":
-            ranges = [{key: value for key, value in
-                       (("key", spec.key), ("from", spec.low), ("to", spec.high)) if value is not None}
-                      for spec in agg.ranges]
+            ranges = [
+                {
+                    key: value
+                    for key, value in (("key", spec.key), ("from", spec.low), ("to", spec.high))
+                    if value is not None
+                }
+                for spec in agg.ranges
+            ]
             body = {"range": {"field": agg.field, "ranges": ranges}}
         case "filter":
             body = {"filter": agg.filters[0][2]}
@@ -262,14 +326,19 @@
         if agg.kind in ("histogram", "date_histogram"):
             return self.histogram(agg, results)
         if agg.kind == "filter":
-            return {"doc_count": sum(each["doc_count"] for each in results), **self.subs(agg, results)}
+            return {
+                "doc_count": sum(each["doc_count"] for each in results),
+                **self.subs(agg, results),
+            }
         return self.named(agg, results)
 
     def count(self, buckets: int) -> None:
         self.made += buckets
         if self.made > self.most:
-            raise RequestError(f"the aggregations have over [{self.most}] buckets; ask for fewer",
-                               "too_many_buckets_exception")
+            raise RequestError(
+                f"the aggregations have over [{self.most}] buckets; ask for fewer",
+                "too_many_buckets_exception",
+            )
 
     def subs(self, agg: Agg, results: list[Result]) -> Result:
         return self.merge(agg.subs, results) if agg.subs else {}
@@ -292,14 +361,18 @@
         order = [key for key in order if counts[key] >= agg.min_doc_count]
         self.count(min(len(order), agg.size))
         buckets = []
-        for key in order[:agg.size]:
+        for key in order[: agg.size]:
             bucket: Result = {"key": key}
             if "key_as_string" in groups[key][0]:
                 bucket["key_as_string"] = groups[key][0]["key_as_string"]
             buckets.append(bucket | {"doc_count": counts[key]} | self.subs(agg, groups[key]))
         beyond = sum(each["sum_other_doc_count"] for each in results)
-        other = beyond + sum(counts[key] for key in order[agg.size:])
-        return {"doc_count_error_upper_bound": error, "sum_other_doc_count": other, "buckets": buckets}
+        other = beyond + sum(counts[key] for key in order[agg.size :])
+        return {
+            "doc_count_error_upper_bound": error,
+            "sum_other_doc_count": other,
+            "buckets": buckets,
+        }
 
     def histogram(self, agg: Agg, results: list[Result]) -> Result:
         groups = self.grouped(results)
@@ -309,7 +382,9 @@
                 steps = int(round((keys[-1] - keys[0]) / agg.interval)) + 1
                 self.count(steps)
                 kind = int if agg.kind == "date_histogram" else float
-                keys = sorted({*keys, *(kind(keys[0] + step * agg.interval) for step in range(steps))})
+                keys = sorted(
+                    {*keys, *(kind(keys[0] + step * agg.interval) for step in range(steps))}
+                )
             else:
                 keys = self.calendar_keys(agg.calendar, keys)
         self.count(len(keys))
@@ -337,18 +412,25 @@
     def named(self, agg: Agg, results: list[Result]) -> Result:
         """range and filters: the keys are known beforehand."""
         buckets: dict[str, Result] = {}
-        for place, key in enumerate([spec.key for spec in agg.ranges] or [each[0] for each in agg.filters]):
+        for place, key in enumerate(
+            [spec.key for spec in agg.ranges] or [each[0] for each in agg.filters]
+        ):
             group = [named_bucket(each["buckets"], key) for each in results]
             bucket: Result = {"doc_count": sum(each["doc_count"] for each in group)}
             if agg.kind == "range":
                 spec = agg.ranges[place]
                 ends = {"from": spec.low, "to": spec.high}
-                bucket = {name: float(end) for name, end in ends.items() if end is not None} | bucket
+                bucket = {
+                    name: float(end) for name, end in ends.items() if end is not None
+                } | bucket
             buckets[key] = bucket | self.subs(agg, group)
         self.count(len(buckets))
         if agg.keyed:
             return {"buckets": buckets}
-        shown = [{"key": key, **bucket} if agg.kind == "range" else bucket for key, bucket in buckets.items()]
+        shown = [
+            {"key": key, **bucket} if agg.kind == "range" else bucket
+            for key, bucket in buckets.items()
+        ]
         return {"buckets": shown}
 
 
@@ -368,9 +450,13 @@
 def merge_stats(results: list[Result]) -> Result:
     filled = [each for each in results if each["count"]]
     count, total = sum(each["count"] for each in filled), sum(each["sum"] for each in filled)
-    return {"count": count, "min": min((each["min"] for each in filled), default=None),
-            "max": max((each["max"] for each in filled), default=None),
-            "avg": total / count if count else None, "sum": total}
+    return {
+        "count": count,
+        "min": min((each["min"] for each in filled), default=None),
+        "max": max((each["max"] for each in filled), default=None),
+        "avg": total / count if count else None,
+        "sum": total,
+    }
 
 
 def merge_cardinality(results: list[Result]) -> Result:
@@ -422,5 +508,12 @@
 
 
 def next_calendar(millis: int, unit: str) -> int:
-    longest = {"minute": 60, "hour": 3600, "day": 86400, "week": 604_800, "month": 31 * 86400, "year": 366 * 86400}
+    longest = {
+        "minute": 60,
+        "hour": 3600,
+        "day": 86400,
+        "week": 604_800,
+        "month": 31 * 86400,
+        "year": 366 * 86400,
+    }
     return floor_calendar(millis + longest[unit] * 1000, unit)
--- a/stepknot/search/dsl.py
+++ b/stepknot/search/dsl.py
@@ -99,7 +99,9 @@
     ((name, inner),) = body.items()
     parser = PARSERS.get(name)
     if parser is None:
-        raise ParsingError(f"unknown query [{name}] in [{where}]; known: {', '.join(sorted(PARSERS))}")
+        raise ParsingError(
+            f"unknown query [{name}] in [{where}]; known: {', '.join(sorted(PARSERS))}"
+        )
     return parser(inner, f"{where}.{name}")
 
 
@@ -157,7 +159,11 @@
 def parse_multi_match(inner: Any, where: str) -> Node:
     options = known(inner, where, "query", "fields", "type", "operator")
     fields = options.get("fields")
-    if not isinstance(fields, list) or not fields or not all(isinstance(each, str) for each in fields):
+    if (
+        not isinstance(fields, list)
+        or not fields
+        or not all(isinstance(each, str) for each in fields)
+    ):
         raise ParsingError(f"[{where}.fields] must be a list of field names")
     kind = options.get("type", "best_fields")
     if kind not in ("best_fields", "most_fields"):
@@ -171,8 +177,12 @@
             pairs.append((name, float(boost or 1)))
         except ValueError:
             raise ParsingError(f"[{where}.fields] has a malformed boost: [{each}]") from None
-    return MultiMatch(tuple(pairs), str(scalar(options["query"], where)), all_terms(options, where),
-                      kind == "most_fields")
+    return MultiMatch(
+        tuple(pairs),
+        str(scalar(options["query"], where)),
+        all_terms(options, where),
+        kind == "most_fields",
+    )
 
 
 def parse_term(inner: Any, where: str) -> Node:
@@ -190,18 +200,29 @@
     if not isinstance(values, list):
         raise ParsingError(f"[{where}.{field}] must be a list")
     if len(values) > MOST_TERMS:
-        raise ParsingError(f"[{where}.{field}] has {len(values)} terms, at most {MOST_TERMS} are taken")
+        raise ParsingError(
+            f"[{where}.{field}] has {len(values)} terms, at most {MOST_TERMS} are taken"
+        )
     return Terms(field, tuple(scalar(each, where) for each in values), boost_of(inner, where))
 
 
 def parse_range(inner: Any, where: str) -> Node:
     field, options = one_field(inner, where, "", "gt", "gte", "lt", "lte")
-    bounds = {name: scalar(options[name], f"{where}.{name}") for name in ("gt", "gte", "lt", "lte")
-              if options.get(name) is not None}
+    bounds = {
+        name: scalar(options[name], f"{where}.{name}")
+        for name in ("gt", "gte", "lt", "lte")
+        if options.get(name) is not None
+    }
     if "gt" in bounds and "gte" in bounds or "lt" in bounds and "lte" in bounds:
         raise ParsingError(f"[{where}.{field}] has two bounds on one side")
-    return Range(field, bounds.get("gt", bounds.get("gte")), bounds.get("lt", bounds.get("lte")),
-                 "gt" not in bounds, "lt" not in bounds, boost_of(options, where))
+    return Range(
+        field,
+        bounds.get("gt", bounds.get("gte")),
+        bounds.get("lt", bounds.get("lte")),
+        "gt" not in bounds,
+        "lt" not in bounds,
+        boost_of(options, where),
+    )
 
 
 def parse_prefix(inner: Any, where: str) -> Node:
@@ -222,7 +243,9 @@
 
 
 def parse_bool(inner: Any, where: str) -> Node:
-    options = known(inner, where, "must", "filter", "should", "must_not", "minimum_should_match", "boost")
+    options = known(
+        inner, where, "must", "filter", "should", "must_not", "minimum_should_match", "boost"
+    )
     clauses = {}
     for name in ("must", "filter", "should", "must_not"):
         given = options.get(name, [])
@@ -244,7 +267,13 @@
 PARSERS: dict[str, Callable[[Any, str], Node]] = {
     "match_all": lambda inner, where: MatchAll(boost_of(known(inner, where, "boost"), where)),
     "match_none": lambda inner, where: MatchNone() if known(inner, where) == {} else MatchNone(),
-    "match": parse_match, "multi_match": parse_multi_match, "term": parse_term, "terms": parse_terms,
-    "range": parse_range, "prefix": parse_prefix, "exists": parse_exists, "ids": parse_ids,
+    "match": parse_match,
+    "multi_match": parse_multi_match,
+    "term": parse_term,
+    "terms": parse_terms,
+    "range": parse_range,
+    "prefix": parse_prefix,
+    "exists": parse_exists,
+    "ids": parse_ids,
     "bool": parse_bool,
 }
--- a/stepknot/search/entities.py
+++ b/stepknot/search/entities.py
@@ -59,11 +59,18 @@
     return {"bool": {"should": [all_of(fields, key) for key in keys], "minimum_should_match": 1}}
 
 
-def documents_search(fields: Sequence[str], keys: Sequence[Key], source: list[str], window: int) -> Body:
+def documents_search(
+    fields: Sequence[str], keys: Sequence[Key], source: list[str], window: int
+) -> Body:
     """Documents by their values. Twice as many as keys are asked for, so that a key that several documents share is
     seen; the order makes the page the same whichever copies answer."""
-    return {"query": any_of(fields, keys), "size": min(2 * len(keys), window), "sort": [{"_id": "asc"}],
-            "_source": sorted({*source, *fields}), "track_total_hits": True}
+    return {
+        "query": any_of(fields, keys),
+        "size": min(2 * len(keys), window),
+        "sort": [{"_id": "asc"}],
+        "_source": sorted({*source, *fields}),
+        "track_total_hits": True,
+    }
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,28 +97,48 @@
 def group_filter(fields: Sequence[str], group: Group) -> Body:
     clauses = [term(field, value) for field, value in zip(fields, group.key, strict=True)]
     for bound in group.bounds:
-        clauses.append(term(bound.field, bound.value) if bound.relation == "eq"
-                       else {"range": {bound.field: {bound.relation: bound.value}}})
+        clauses.append(
+            term(bound.field, bound.value)
+            if bound.relation == "eq"
+            else {"range": {bound.field: {bound.relation: bound.value}}}
+        )
     return clauses[0] if len(clauses) == 1 else {"bool": {"filter": clauses}}
 
 
-def groups_search(fields: Sequence[str], groups: Sequence[Group], measured: Sequence[Measured]) -> Body:
+def groups_search(
+    fields: Sequence[str], groups: Sequence[Group], measured: Sequence[Measured]
+) -> Body:
     """Counts and metrics of all groups in one aggregation: a filter each, the metrics below."""
     keys = list(dict.fromkeys(group.key for group in groups))
     filters = {str(place): group_filter(fields, group) for place, group in enumerate(groups)}
-    subs = {each.name: {each.kind: {"field": each.field}} for each in measured if each.kind != "count"}
+    subs = {
+        each.name: {each.kind: {"field": each.field}} for each in measured if each.kind != "count"
+    }
     batch: Body = {"filters": {"filters": filters}}
-    return {"query": {"bool": {"filter": [any_of(fields, keys)]}}, "size": 0, "track_total_hits": False,
-            "aggs": {BATCH: batch | ({"aggs": subs} if subs else {})}}
+    return {
+        "query": {"bool": {"filter": [any_of(fields, keys)]}},
+        "size": 0,
+        "track_total_hits": False,
+        "aggs": {BATCH: batch | ({"aggs": subs} if subs else {})},
+    }
 
 
-def by_group(groups: Sequence[Group], measured: Sequence[Measured], merged: Merged) -> dict[Group, Body]:
+def by_group(
+    groups: Sequence[Group], measured: Sequence[Measured], merged: Merged
+) -> dict[Group, Body]:
     """Each group's values by the names asked for; a metric over no documents is None."""
     buckets = merged.aggregations[BATCH]["buckets"]
-    return {group: {each.name: buckets[str(place)]["doc_count"] if each.kind == "count"
-                    else metric(each.kind, buckets[str(place)]) if buckets[str(place)]["doc_count"] == 0
-                    else buckets[str(place)][each.name]["value"] for each in measured}
-            for place, group in enumerate(groups)}
+    return {
+        group: {
+            each.name: buckets[str(place)]["doc_count"]
+            if each.kind == "count"
+            else metric(each.kind, buckets[str(place)])
+            if buckets[str(place)]["doc_count"] == 0
+            else buckets[str(place)][each.name]["value"]
+            for each in measured
+        }
+        for place, group in enumerate(groups)
+    }
 
 
 def metric(kind: str, bucket: Body) -> Any:
--- a/stepknot/search/errors.py
+++ b/stepknot/search/errors.py
@@ -6,7 +6,9 @@
 class RequestError(Exception):
     """A request that is turned down before anything is sent: `status`, the engines' `type` and a reason."""
 
-    def __init__(self, reason: str, type_: str = "illegal_argument_exception", status: int = 400) -> None:
+    def __init__(
+        self, reason: str, type_: str = "illegal_argument_exception", status: int = 400
+    ) -> None:
         super().__init__(reason)
         self.reason, self.type, self.status = reason, type_, status
 
--- a/stepknot/search/merge.py
+++ b/stepknot/search/merge.py
@@ -82,7 +82,9 @@
         rows = hits["hits"]
         total = hits.get("total") or {"value": 0, "relation": "gte"}
         if len(rows) > search.start + search.size:
-            raise MergeError(f"{len(rows)} hits where at most {search.start + search.size} were asked for")
+            raise MergeError(
+                f"{len(rows)} hits where at most {search.start + search.size} were asked for"
+            )
         width, index = len(search.sort), target.index
         for row in rows:
             if row["_id"].__class__ is not str or row["_index"] != index:
@@ -98,7 +100,9 @@
         raise MergeError(f"{type(error).__name__}: {error}") from None
 
 
-def ranked(search: Search, shard: ShardHits, order: int) -> Iterator[tuple[Any, int, int, dict[str, Any], Target]]:
+def ranked(
+    search: Search, shard: ShardHits, order: int
+) -> Iterator[tuple[Any, int, int, dict[str, Any], Target]]:
     last: Any = None
     for place, row in enumerate(shard.hits):
         rank = sort_rank(search.sort, row["sort"]) if search.sort else -row["_score"]
@@ -116,11 +120,16 @@
         page = list(islice(heapq.merge(*runs), search.start, search.start + search.size))
     except TypeError as error:
         raise MergeError(f"sort values of different types: {error}") from None
-    total, exact = sum(each.total for each in shards), all(each.exact for each in shards) and not missing
+    total, exact = (
+        sum(each.total for each in shards),
+        all(each.exact for each in shards) and not missing,
+    )
     if search.total is not True and search.total is not False and total > search.total:
         total, exact = search.total, False
     best = None
     if not search.sort:
         best = max((shard.hits[0]["_score"] for shard in shards if shard.hits), default=None)
     aggregations = Merger(most_buckets).merge(search.aggs, [each.aggregations for each in shards])
-    return Merged([(target, row) for _, _, _, row, target in page], total, exact, best, aggregations)
+    return Merged(
+        [(target, row) for _, _, _, row, target in page], total, exact, best, aggregations
+    )
--- a/stepknot/search/request.py
+++ b/stepknot/search/request.py
@@ -10,10 +10,29 @@
 from stepknot.search.dsl import MatchAll, Node, parse_query
 from stepknot.search.errors import ParsingError, RequestError, unsupported
 
-BODY_KEYS = ("query", "from", "size", "sort", "search_after", "_source", "aggs", "aggregations",
-             "track_total_hits", "timeout", "track_scores")
+BODY_KEYS = (
+    "query",
+    "from",
+    "size",
+    "sort",
+    "search_after",
+    "_source",
+    "aggs",
+    "aggregations",
+    "track_total_hits",
+    "timeout",
+    "track_scores",
+)
 DEFAULT_SIZE, DEFAULT_TOTAL = 10, 10_000
-TIME_UNITS = {"nanos": 1e-9, "micros": 1e-6, "ms": 1e-3, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}
+TIME_UNITS = {
+    "nanos": 1e-9,
+    "micros": 1e-6,
+    "ms": 1e-3,
+    "s": 1.0,
+    "m": 60.0,
+    "h": 3600.0,
+    "d": 86400.0,
+}
 Source = bool | tuple[tuple[str, ...], tuple[str, ...]]  # all or none, or patterns in and out
 
 
@@ -47,8 +66,10 @@
         return None
     found = re.fullmatch(r"(\d+(?:\.\d+)?)(nanos|micros|ms|s|m|h|d)", str(value))
     if not found:
-        raise ParsingError(f"failed to parse [{where}] with value [{value}] as a time value: "
-                           "unit is missing or unrecognized")
+        raise ParsingError(
+            f"failed to parse [{where}] with value [{value}] as a time value: "
+            "unit is missing or unrecognized"
+        )
     return float(found[1]) * TIME_UNITS[found[2]]
 
 
@@ -73,15 +94,22 @@
     for key in ("from", "size", "timeout", "track_total_hits", "sort", "track_scores"):
         if key in params:
             merged[key] = params[key]
-    start, size = whole(merged.get("from", 0), "from"), whole(merged.get("size", DEFAULT_SIZE), "size")
+    start, size = (
+        whole(merged.get("from", 0), "from"),
+        whole(merged.get("size", DEFAULT_SIZE), "size"),
+    )
     if start + size > window:
-        raise RequestError(f"Result window is too large, from + size must be less than or equal to: [{window}] "
-                           f"but was [{start + size}]")
+        raise RequestError(
+            f"Result window is too large, from + size must be less than or equal to: [{window}] "
+            f"but was [{start + size}]"
+        )
     sort, after = parse_sort(merged.get("sort")), merged.get("search_after")
     if after is not None:
         if not isinstance(after, list) or len(after) != max(len(sort), 0) or not sort:
-            raise RequestError(f"search_after has {len(after) if isinstance(after, list) else 'no'} value(s) but "
-                               f"sort has {len(sort)}")
+            raise RequestError(
+                f"search_after has {len(after) if isinstance(after, list) else 'no'} value(s) but "
+                f"sort has {len(sort)}"
+            )
         if start:
             raise RequestError("`from` parameter must be set to 0 when `search_after` is used")
     query_body = merged.get("query", {"match_all": {}})
@@ -89,10 +117,16 @@
     if "aggs" in body and "aggregations" in body:
         raise ParsingError("both [aggs] and [aggregations] are given")
     return Search(
-        query=parse_query(query_body) if query_body else MatchAll(), query_body=query_body, start=start, size=size,
-        sort=sort, search_after=tuple(after) if after is not None else None, source=parse_source(merged, params),
+        query=parse_query(query_body) if query_body else MatchAll(),
+        query_body=query_body,
+        start=start,
+        size=size,
+        sort=sort,
+        search_after=tuple(after) if after is not None else None,
+        source=parse_source(merged, params),
         aggs=parse_aggs(body.get("aggs", body.get("aggregations", {}))),
-        total=parse_total(merged.get("track_total_hits", DEFAULT_TOTAL)), timeout=timeout,
+        total=parse_total(merged.get("track_total_hits", DEFAULT_TOTAL)),
+        timeout=timeout,
         track_scores=str(merged.get("track_scores", False)).lower() == "true",
     )
 
@@ -133,7 +167,10 @@
     for key in options:
         if key not in ("order", "missing", "unmapped_type"):
             raise unsupported(key, f"sort.{field}")
-    order, missing = options.get("order", "desc" if field == "_score" else "asc"), options.get("missing", "_last")
+    order, missing = (
+        options.get("order", "desc" if field == "_score" else "asc"),
+        options.get("missing", "_last"),
+    )
     if order not in ("asc", "desc") or missing not in ("_last", "_first"):
         raise ParsingError(f"malformed [sort] for [{field}]: order [{order}], missing [{missing}]")
     return SortKey(field, order == "desc", missing == "_first")
@@ -144,7 +181,10 @@
     if "_source" in params:
         text = params["_source"]
         given = text == "true" if text in ("true", "false") else text.split(",")
-    inner = {"includes": listed(params.get("_source_includes")), "excludes": listed(params.get("_source_excludes"))}
+    inner = {
+        "includes": listed(params.get("_source_includes")),
+        "excludes": listed(params.get("_source_excludes")),
+    }
     if inner["includes"] or inner["excludes"]:
         given = inner
     if isinstance(given, bool):
@@ -157,8 +197,13 @@
         for key in given:
             if key not in ("includes", "excludes", "include", "exclude"):
                 raise unsupported(key, "_source")
-        into, out = (given.get(key) or given.get(key[:-1]) or [] for key in ("includes", "excludes"))
-        return (tuple([into] if isinstance(into, str) else into), tuple([out] if isinstance(out, str) else out))
+        into, out = (
+            given.get(key) or given.get(key[:-1]) or [] for key in ("includes", "excludes")
+        )
+        return (
+            tuple([into] if isinstance(into, str) else into),
+            tuple([out] if isinstance(out, str) else out),
+        )
     raise ParsingError("[_source] must be a boolean, a string, a list or an object")
 
 
@@ -173,9 +218,17 @@
 
 
 def sort_body(sort: tuple[SortKey, ...]) -> list[Any]:
-    return [{key.field: {"order": "desc" if key.descending else "asc"} | (
-        {} if key.field.startswith("_") else {"missing": "_first" if key.missing_first else "_last"})}
-        for key in sort]
+    return [
+        {
+            key.field: {"order": "desc" if key.descending else "asc"}
+            | (
+                {}
+                if key.field.startswith("_")
+                else {"missing": "_first" if key.missing_first else "_last"}
+            )
+        }
+        for key in sort
+    ]
 
 
 def shard_body(search: Search, timeout: float, fetch: bool, name: str = "") -> dict[str, Any]:
@@ -185,8 +238,10 @@
     """
     body: dict[str, Any] = {
         "stats": [name],
-        "query": search.query_body or {"match_all": {}}, "size": search.start + search.size,
-        "_source": source_body(search.source) if fetch else False, "timeout": f"{max(int(timeout * 1000), 1)}ms",
+        "query": search.query_body or {"match_all": {}},
+        "size": search.start + search.size,
+        "_source": source_body(search.source) if fetch else False,
+        "timeout": f"{max(int(timeout * 1000), 1)}ms",
         "track_total_hits": search.total,
     }
     if search.sort:
@@ -202,5 +257,10 @@
 
 def fetch_body(search: Search, ids: list[str], name: str = "") -> dict[str, Any]:
     """The second step: the documents of one shard's hits."""
-    return {"stats": [name], "query": {"ids": {"values": ids}}, "size": len(ids), "_source": source_body(search.source),
-            "track_total_hits": False}
+    return {
+        "stats": [name],
+        "query": {"ids": {"values": ids}},
+        "size": len(ids),
+        "_source": source_body(search.source),
+        "track_total_hits": False,
+    }
--- a/stepknot/search/writes.py
+++ b/stepknot/search/writes.py
@@ -32,7 +32,8 @@
         elif self.action != "delete" and not isinstance(self.body, dict):
             raise ParsingError("request body is required")
         meta = {"_index": self.target.index, "_id": self.identity} | (
-            {"routing": self.routing} if self.routing else {})
+            {"routing": self.routing} if self.routing else {}
+        )
         line = orjson.dumps({self.action: meta}) + b"\n"
         return line if self.action == "delete" else line + orjson.dumps(self.body) + b"\n"
 
--- a/stepknot/subsets/choice.py
+++ b/stepknot/subsets/choice.py
@@ -55,7 +55,10 @@
 def cell_quota(cell: int, live: Callable[[int], int], cells: int, reach: int, size: int) -> int:
     """What the neediest of the shards that the cell holds asks of it."""
     shards = [(cell - step) % cells for step in range(min(reach, cells))]
-    found = [shard_quota([live(each) for each in cells_of(shard, cells, reach)], size) for shard in shards]
+    found = [
+        shard_quota([live(each) for each in cells_of(shard, cells, reach)], size)
+        for shard in shards
+    ]
     return max(LEAST_QUOTA, *found)
 
 
@@ -64,7 +67,9 @@
     return min(live, math.floor(min(holders * live / instances, float(live)) + dither))
 
 
-def choose_warm(ranked: Sequence[ServerEntry], quota: int, tier: Callable[[str], int]) -> list[ServerEntry]:
+def choose_warm(
+    ranked: Sequence[ServerEntry], quota: int, tier: Callable[[str], int]
+) -> list[ServerEntry]:
     """The first `quota` by rank, one of them of the nearest tier, and of two zones (S2, S3)."""
     chosen = list(ranked[:quota])
     rest = ranked[quota:]
--- a/stepknot/subsets/explain.py
+++ b/stepknot/subsets/explain.py
@@ -29,6 +29,18 @@
         word = "it is among the first by preference"
     else:
         word = "it stands in for one that is no use now, or for another zone or tier"
-    return Reason(server, entry.cell, entry.zone, subset.index.tier(entry.zone), held is not None, word, place,
-                  len(cell.entries), cell.live, cell.quota, cell.scores[place],
-                  share.share if cold else 1.0, held.sharers if held is not None else 0.0)
+    return Reason(
+        server,
+        entry.cell,
+        entry.zone,
+        subset.index.tier(entry.zone),
+        held is not None,
+        word,
+        place,
+        len(cell.entries),
+        cell.live,
+        cell.quota,
+        cell.scores[place],
+        share.share if cold else 1.0,
+        held.sharers if held is not None else 0.0,
+    )
--- a/stepknot/subsets/index.py
+++ b/stepknot/subsets/index.py
@@ -14,7 +14,10 @@
 from stepknot.subsets.choice import draw, score, tier_of
 from stepknot.subsets.model import SubsetSettings
 
-LEAST_SIZE, GREATEST_SIZE = 0.01, 100.0  # of a node's capacity: beyond them a list's word is taken for these
+LEAST_SIZE, GREATEST_SIZE = (
+    0.01,
+    100.0,
+)  # of a node's capacity: beyond them a list's word is taken for these
 
 
 @dataclass(slots=True)
--- a/stepknot/subsets/subset.py
+++ b/stepknot/subsets/subset.py
@@ -23,7 +23,9 @@
 READ_AT_ONCE = 1024  # entries of a list that are read: 0.3 ms
 SEARCHED_AT_ONCE = 64  # cells whose held nodes are compared with a whole list: 0.2 ms
 TAKEN_AT_ONCE = 32  # entries that are taken into the index: 0.1 ms
-TOLD_AT_ONCE = 128  # entries in an event for the module, and those of one cell: 3 ms of it at 2,300 nodes
+TOLD_AT_ONCE = (
+    128  # entries in an event for the module, and those of one cell: 3 ms of it at 2,300 nodes
+)
 STALE_TIMES = 4  # for each cell, kept in the heap of those when a node is warm
 
 
@@ -45,7 +47,9 @@
     whole: bool
     words: dict[str, ServerEntry]
     names: deque[str]  # not taken in yet
-    sweep: deque[int] | None = None  # cells still to be searched for what a whole list does not name
+    sweep: deque[int] | None = (
+        None  # cells still to be searched for what a whole list does not name
+    )
 
     def word(self, entry: ServerEntry) -> ServerEntry | None:
         """What is said of a node; None: nothing."""
@@ -62,8 +66,12 @@
         self.index = Index(settings)
         self.unread: deque[Unread] = deque()
         self.pending: Pending | None = None
-        self.search: deque[int] = deque()  # cells whose held nodes are still to be compared with a whole list
-        self.urgent: dict[int, Cause] = {}  # cells to be chosen anew, and why: at once, or once lists are taken in
+        self.search: deque[int] = (
+            deque()
+        )  # cells whose held nodes are still to be compared with a whole list
+        self.urgent: dict[
+            int, Cause
+        ] = {}  # cells to be chosen anew, and why: at once, or once lists are taken in
         self.dirty: dict[int, Cause] = {}
         self.warming: list[tuple[float, int]] = []  # when a cold node is warm, and its cell: a heap
         self.told: list[ServerEntry] = []  # not yet in an event
@@ -87,7 +95,7 @@
             self.unread.clear()
         at_once = len(event.entries) if whole else READ_AT_ONCE
         for place in range(0, max(len(event.entries), 1), max(at_once, 1)):
-            self.unread.append(Unread(whole, event.entries[place:place + at_once], {}))
+            self.unread.append(Unread(whole, event.entries[place : place + at_once], {}))
 
     def count(self, instances: int) -> None:
         """No more brokers than this may be there: quotas and the division of cold budgets follow."""
@@ -101,7 +109,15 @@
 
     @property
     def busy(self) -> bool:
-        return bool(self.unread or self.search or self.pending or self.urgent or self.dirty or self.told or self.first)
+        return bool(
+            self.unread
+            or self.search
+            or self.pending
+            or self.urgent
+            or self.dirty
+            or self.told
+            or self.first
+        )
 
     def next_warm(self) -> float | None:
         """When a cold node becomes warm next: `advance` is wanted then."""
@@ -124,8 +140,14 @@
             number = next(iter(self.dirty))
             self.settle(number, self.dirty.pop(number), now)
         idle = not (self.unread or self.pending or self.urgent or self.dirty)
-        if len(self.told) >= TOLD_AT_ONCE or self.told and urgent and not self.urgent or idle and (
-                self.told or self.first):
+        if (
+            len(self.told) >= TOLD_AT_ONCE
+            or self.told
+            and urgent
+            and not self.urgent
+            or idle
+            and (self.told or self.first)
+        ):
             self.tell()
         return self.busy
 
@@ -144,7 +166,7 @@
     # --- the list
 
     def read_some(self, unread: Unread) -> None:
-        some = unread.entries[unread.read:unread.read + READ_AT_ONCE]
+        some = unread.entries[unread.read : unread.read + READ_AT_ONCE]
         unread.words.update((entry.server, entry) for entry in some)
         unread.read += READ_AT_ONCE
         if unread.read < len(unread.entries):
@@ -158,7 +180,9 @@
         if unread.whole:
             self.search = deque(self.index.cells)
         else:
-            self.find_urgent(entry for server in unread.words if (entry := self.index.held(server)) is not None)
+            self.find_urgent(
+                entry for server in unread.words if (entry := self.index.held(server)) is not None
+            )
 
     def search_some(self) -> None:
         for _ in range(min(SEARCHED_AT_ONCE, len(self.search))):
@@ -194,7 +218,9 @@
         if entry.server in self.settings.own or not 0 <= entry.cell < self.shape.cells:
             self.left_out += 1
             entry = replace(entry, state=ServerState.GONE)
-        if not (math.isfinite(entry.size) and math.isfinite(entry.up_since)):  # as if they were not told
+        if not (
+            math.isfinite(entry.size) and math.isfinite(entry.up_since)
+        ):  # as if they were not told
             entry = replace(entry, size=1.0, up_since=0.0)
         before = self.index.get(entry.server)
         if before == entry or before is None and entry.state is ServerState.GONE:
@@ -221,17 +247,28 @@
         """How many warm nodes of a cell are wanted: as many as if none were cold, and as the warm ones need (S1)."""
         shape, live = self.shape, self.index.live
         dither = draw(self.settings.identity, f"\0cell {number}")  # no node's name
-        needed = [cell_quota(number, live, shape.cells, shape.reach, self.settings.size),
-                  holders_quota(live(number), self.settings.holders, self.instances, dither)]
+        needed = [
+            cell_quota(number, live, shape.cells, shape.reach, self.settings.size),
+            holders_quota(live(number), self.settings.holders, self.instances, dither),
+        ]
         if shape.reach > 1:
-            needed.append(cell_quota(number, lambda each: self.warm(each, now), shape.cells, shape.reach,
-                                     self.settings.size))
+            needed.append(
+                cell_quota(
+                    number,
+                    lambda each: self.warm(each, now),
+                    shape.cells,
+                    shape.reach,
+                    self.settings.size,
+                )
+            )
         return max(needed)
 
     def warm(self, number: int, now: float) -> int:
         cell = self.index.cells.get(number)
         entries = cell.entries if cell is not None else ()
-        return sum(entry.state is ServerState.LIVE and not self.cold(entry, now) for entry in entries)
+        return sum(
+            entry.state is ServerState.LIVE and not self.cold(entry, now) for entry in entries
+        )
 
     def cold(self, entry: ServerEntry, now: float) -> bool:
         return entry.up_since > 0 and now < entry.up_since + self.shape.cold_time
@@ -247,7 +284,11 @@
                 continue
             if not self.cold(entry, now):
                 warm.append(entry)
-            elif len(warm) < quota and len(cold) < quota and share.may_send(self.index.drawn(entry.server)):
+            elif (
+                len(warm) < quota
+                and len(cold) < quota
+                and share.may_send(self.index.drawn(entry.server))
+            ):
                 cold.append(replace(entry, sharers=share.divisor))
         return choose_warm(warm, quota, self.index.tier) + cold
 
@@ -274,19 +315,33 @@
         self.told += sorted(new, key=lambda entry: entry.state is ServerState.DRAINING)
         cell.held = wanted
         # One that moved may be held by its new cell by now.
-        self.told += [replace(entry, state=ServerState.GONE) for entry in left if not self.index.held(entry.server)]
+        self.told += [
+            replace(entry, state=ServerState.GONE)
+            for entry in left
+            if not self.index.held(entry.server)
+        ]
         self.watch_warming(number, now)
         if entered or left:
-            self.changes.append(Changed(number, cause, entered, tuple(entry.server for entry in left), cell.quota))
+            self.changes.append(
+                Changed(number, cause, entered, tuple(entry.server for entry in left), cell.quota)
+            )
 
     def watch_warming(self, number: int, now: float) -> None:
         """A cell is chosen anew when its next cold node is warm."""
         cell = self.index.cells[number]
-        warm_at = min((entry.up_since + self.shape.cold_time for entry in cell.entries if self.cold(entry, now)),
-                      default=0.0)
+        warm_at = min(
+            (
+                entry.up_since + self.shape.cold_time
+                for entry in cell.entries
+                if self.cold(entry, now)
+            ),
+            default=0.0,
+        )
         if warm_at and warm_at != cell.warm_at:
             heapq.heappush(self.warming, (warm_at, number))
         cell.warm_at = warm_at
         if len(self.warming) > STALE_TIMES * len(self.index.cells):  # of nodes that came and went
-            self.warming = [(each.warm_at, place) for place, each in self.index.cells.items() if each.warm_at]
+            self.warming = [
+                (each.warm_at, place) for place, each in self.index.cells.items() if each.warm_at
+            ]
             heapq.heapify(self.warming)
--- a/stepknot/zones/health.py
+++ b/stepknot/zones/health.py
@@ -52,7 +52,9 @@
     last_served: float = -math.inf
     unserved: int = 0  # parts that failed since
     ramp: float = 1.0
-    able: float = 1.0  # share of its work that the zone's boxes can do by the time since their starts
+    able: float = (
+        1.0  # share of its work that the zone's boxes can do by the time since their starts
+    )
     step_end: float = 0.0
     step_served: int = 0
     step_failed: int = 0
@@ -70,7 +72,7 @@
 
     def step_time(self) -> float:
         """Longer after each relapse, within the bound."""
-        return self.bounds.step * float(min(2.0 ** self.relapses, self.bounds.most_steps))
+        return self.bounds.step * float(min(2.0**self.relapses, self.bounds.most_steps))
 
     # --- evidence
 
@@ -87,7 +89,10 @@
             self.failing_boxes[box] = now
             self.step_failed += 1
         if self.state is State.SOUND and not served and self.looks_dark(now, boxes):
-            self.go_dark(now, f"{self.share_failing(now):.0%} of parts failed at {len(self.failing_boxes)} boxes")
+            self.go_dark(
+                now,
+                f"{self.share_failing(now):.0%} of parts failed at {len(self.failing_boxes)} boxes",
+            )
         elif self.state is State.RETURNING and not served and self.looks_dark(now, boxes):
             self.go_dark(now, "it failed again on its way back")
         elif self.state is State.DARK and served:
@@ -98,7 +103,7 @@
         silent = self.unserved >= LEAST_SAMPLES and now - self.last_served >= QUIET
         recent = sum(at > now - 2 * MEMORY for at in self.failing_boxes.values())
         lost = self.samples(now) >= LEAST_SAMPLES and self.share_failing(now) >= DARK_SHARE
-        return ((lost or silent) and recent >= max(1, math.ceil(0.6 * boxes)))
+        return (lost or silent) and recent >= max(1, math.ceil(0.6 * boxes))
 
     def list_lost(self, now: float) -> None:
         """The list names none of its boxes any more."""
@@ -123,7 +128,7 @@
     def begin_return(self, now: float, why: str) -> None:
         self.enter(State.RETURNING, now, why)
         # Half of what the boxes can do: warm ones behind a link that was cut need no warm-up. Less after each relapse.
-        self.ramp = max(self.bounds.first, WARM_FIRST * self.able / 2.0 ** self.relapses)
+        self.ramp = max(self.bounds.first, WARM_FIRST * self.able / 2.0**self.relapses)
         self.served, self.failed = Faded(1.0, now), Faded(0.0, now)
         self.failing_boxes = {}
         self.begin_step(now)
--- a/stepknot/zones/model.py
+++ b/stepknot/zones/model.py
@@ -20,7 +20,9 @@
 class Bounds:
     """How much may spill and how fast load comes back. Defaults that are 0 or less are derived, see `derive`."""
 
-    spill: float = 0.0  # a zone gets at most this multiple of what it had while another is not sound
+    spill: float = (
+        0.0  # a zone gets at most this multiple of what it had while another is not sound
+    )
     near: float = 0.0  # a zone is near when a question to it takes at most this long
     step: float = 0.0  # seconds of sound answers for each step of a returning zone
     first: float = 0.0  # share of what it had with which a returning zone begins
@@ -42,7 +44,9 @@
     prefer_near: bool = True  # False: all sound zones are of one tier
 
 
-def derive(bounds: Bounds, zones: int, cold_share: float, cold_time: float, shortest_aim: float) -> Bounds:
+def derive(
+    bounds: Bounds, zones: int, cold_share: float, cold_time: float, shortest_aim: float
+) -> Bounds:
     """Fill in what was left to be derived.
 
     Spill: losing one of `zones` alike leaves each other one `zones / (zones - 1)` of what it had; twice that covers
@@ -58,7 +62,8 @@
     first = bounds.first if bounds.first > 0 else cold_share
     steps = max(math.log(1 / first) / math.log(bounds.growth), 1.0)
     return replace(
-        bounds, first=first,
+        bounds,
+        first=first,
         spill=bounds.spill if bounds.spill > 0 else natural,
         near=bounds.near if bounds.near > 0 else 0.03 * shortest_aim,
         step=bounds.step if bounds.step > 0 else max(cold_time, 1.0) / steps,
--- a/stepknot/zones/policy.py
+++ b/stepknot/zones/policy.py
@@ -24,8 +24,13 @@
 QUICKEST = 0.1  # of a question in a zone's way: the quickest lately, forgotten slowly
 LEAST_LEVEL = 0.05  # of what may be sent, for each level of worth: none is shut out
 OVER_SHARE = 0.5  # of its worth counts for a query of a tenant that has more than it was promised
-ADVICE = (0.5, 2.0)  # seconds: refused clients are spread over this, more widely the longer the way back
-DEMAND_MEMORY = 4.0  # seconds over which what is asked for is seen: shorter, and each lump looks like overload
+ADVICE = (
+    0.5,
+    2.0,
+)  # seconds: refused clients are spread over this, more widely the longer the way back
+DEMAND_MEMORY = (
+    4.0  # seconds over which what is asked for is seen: shorter, and each lump looks like overload
+)
 WIDEST_MEMORY = 10.0
 MOST_CHANGES = 1000
 COUNTED = {Outcome.ERROR, Outcome.RESET, Outcome.NOT_CONNECTED}
@@ -54,7 +59,12 @@
 
 class Zones:
     def __init__(
-        self, settings: ZoneSettings, cold_share: float, cold_time: float, shortest_aim: float, seed: int
+        self,
+        settings: ZoneSettings,
+        cold_share: float,
+        cold_time: float,
+        shortest_aim: float,
+        seed: int,
     ) -> None:
         """What the settings leave open is derived from the warm-up and the shortest aim, and from the list's zones."""
         self.settings, self.known_of_cold = settings, (cold_share, cold_time, shortest_aim)
@@ -80,7 +90,9 @@
     def zone(self, name: str) -> Zone:
         zone = self.zones.get(name)
         if zone is None:
-            zone = self.zones[name] = Zone(Health(self.bounds, self.rng), Spill(self.bounds.history))
+            zone = self.zones[name] = Zone(
+                Health(self.bounds, self.rng), Spill(self.bounds.history)
+            )
             self.told[name] = State.SOUND
         return zone
 
@@ -144,13 +156,18 @@
     def able(self, zone: Zone) -> float:
         """Share of their work that its boxes can do now: from what one just started can, to all when it is warm."""
         share, warm, _ = self.known_of_cold
-        each = [1.0 if up <= 0 or warm <= 0 else min(1.0, share + (1 - share) * max(self.now - up, 0.0) / warm)
-                for up in zone.starts]
+        each = [
+            1.0
+            if up <= 0 or warm <= 0
+            else min(1.0, share + (1 - share) * max(self.now - up, 0.0) / warm)
+            for up in zone.starts
+        ]
         return sum(each) / len(each) if each else share
 
     def was_silent(self, outcome: Outcome, elapsed: float) -> bool:
         return outcome is Outcome.TIMED_OUT or (
-            outcome is Outcome.CANCELLED and self.mean > 0 and elapsed >= SILENT * self.mean)
+            outcome is Outcome.CANCELLED and self.mean > 0 and elapsed >= SILENT * self.mean
+        )
 
     def probed(self, now: float, box: str, elapsed: float, served: bool) -> None:
         """A question was answered: how far the zone is. It says nothing of its health."""
@@ -158,7 +175,11 @@
         name = self.zone_of.get(box)
         if name is not None and served:
             zone = self.zone(name)
-            zone.way = elapsed if not zone.way or elapsed < zone.way else zone.way + QUICKEST * (elapsed - zone.way)
+            zone.way = (
+                elapsed
+                if not zone.way or elapsed < zone.way
+                else zone.way + QUICKEST * (elapsed - zone.way)
+            )
             self.sort_tiers()
 
     def advance(self, now: float) -> None:
@@ -184,9 +205,21 @@
                 continue
             zone.spill.forget(self.now)
             if len(self.changes) < MOST_CHANGES:
-                self.changes.append(Change(name, self.told[name], health.state, health.why, {
-                    "failing": round(health.share_failing(self.now), 3), "samples": round(health.samples(self.now), 1),
-                    "boxes": float(zone.boxes), "relapses": float(health.relapses), "ramp": round(health.ramp, 3)}))
+                self.changes.append(
+                    Change(
+                        name,
+                        self.told[name],
+                        health.state,
+                        health.why,
+                        {
+                            "failing": round(health.share_failing(self.now), 3),
+                            "samples": round(health.samples(self.now), 1),
+                            "boxes": float(zone.boxes),
+                            "relapses": float(health.relapses),
+                            "ramp": round(health.ramp, 3),
+                        },
+                    )
+                )
             self.told[name] = health.state
         self.sound = all(zone.health.state is State.SOUND for zone in self.zones.values())
 
@@ -260,7 +293,9 @@
         widest = self.widest_now if zone.health.state is State.SOUND else 1.0
         return zone.spill.fill(self.now, rate, widest) - zone.tentative >= 1.0
 
-    def narrow(self, now: float, entries: Sequence[ServerEntry], safe: bool, owed: bool = False) -> list[int]:
+    def narrow(
+        self, now: float, entries: Sequence[ServerEntry], safe: bool, owed: bool = False
+    ) -> list[int]:
         """The places of those that may be chosen; none where nothing may be sent. `safe`: fit for a trial; `owed`:
         work was done for it already, so it is not shed where any zone is sound."""
         self.advance(now)
@@ -273,12 +308,18 @@
                 if health.state is State.DARK:
                     open_to[entry.zone] = False
                     if safe and not owed and health.may_try(self.now):
-                        return [place for place, each in enumerate(entries) if each.zone == entry.zone]
+                        return [
+                            place for place, each in enumerate(entries) if each.zone == entry.zone
+                        ]
                 else:
                     # A returning zone with room is offered beside the sound ones, not before them: its boxes are cold,
                     # and the module sees by their counts and means which part is better off elsewhere.
-                    open_to[entry.zone] = owed and health.state is State.SOUND or self.has_tokens(entry.zone)
-        if not any(open_to.values()) and all(self.zone(name).health.state is State.DARK for name in open_to):
+                    open_to[entry.zone] = (
+                        owed and health.state is State.SOUND or self.has_tokens(entry.zone)
+                    )
+        if not any(open_to.values()) and all(
+            self.zone(name).health.state is State.DARK for name in open_to
+        ):
             open_to = {name: self.has_tokens(name) for name in open_to}  # the last copies
         chosen = self.best_tier(entries, open_to)
         zones = {entries[place].zone for place in chosen}
@@ -286,11 +327,16 @@
             self.zone(name).tentative += 1 / len(zones)
         return chosen
 
-    def best_tier(self, entries: Sequence[ServerEntry], open_to: Mapping[str, bool] | None) -> list[int]:
+    def best_tier(
+        self, entries: Sequence[ServerEntry], open_to: Mapping[str, bool] | None
+    ) -> list[int]:
         """The places of those in the best tier that is open; None: all are."""
         if self.flat and open_to is not None:
             return [place for place, entry in enumerate(entries) if open_to[entry.zone]]
-        tiers = [self.tier(each.zone) if open_to is None or open_to[each.zone] else math.inf for each in entries]
+        tiers = [
+            self.tier(each.zone) if open_to is None or open_to[each.zone] else math.inf
+            for each in entries
+        ]
         best = min(tiers, default=math.inf)
         return [place for place, tier in enumerate(tiers) if tier == best < math.inf]
 
@@ -306,7 +352,9 @@
         if parts > self.widest_now:
             self.widest, self.widest_now = Faded(parts, self.now), parts
         worth = max(worth * (OVER_SHARE if over_share else 1.0), 1e-9)
-        level_worth = 2 ** (round(2 * math.log2(worth)) / 2)  # few levels, whatever the number of parts
+        level_worth = 2 ** (
+            round(2 * math.log2(worth)) / 2
+        )  # few levels, whatever the number of parts
         level = self.levels.setdefault(level_worth, Level())
         level.asked.add(self.now, parts)
         if not self.disturbed():
@@ -336,8 +384,14 @@
     def advice(self) -> float:
         """Seconds, spread so that those refused together do not come back together."""
         least, most = ADVICE
-        waiting = max((zone.health.step_time() for zone in self.zones.values()
-                       if zone.health.state is not State.SOUND), default=0.0)
+        waiting = max(
+            (
+                zone.health.step_time()
+                for zone in self.zones.values()
+                if zone.health.state is not State.SOUND
+            ),
+            default=0.0,
+        )
         return self.rng.uniform(least, most + waiting)
 
     # --- what is shown
@@ -348,8 +402,19 @@
         ramps = {State.SOUND: 1.0, State.DARK: 0.0}
         for name, zone in sorted(self.zones.items()):
             health = zone.health
-            shown.append(ZoneView(
-                name, health.state, self.tier(name), zone.boxes, zone.spill.sent.now(self.now), self.base(name),
-                self.allowed(name), ramps.get(health.state, health.ramp), health.share_failing(self.now),
-                health.relapses, health.why))
+            shown.append(
+                ZoneView(
+                    name,
+                    health.state,
+                    self.tier(name),
+                    zone.boxes,
+                    zone.spill.sent.now(self.now),
+                    self.base(name),
+                    self.allowed(name),
+                    ramps.get(health.state, health.ramp),
+                    health.share_failing(self.now),
+                    health.relapses,
+                    health.why,
+                )
+            )
         return shown
--- a/stepknot/zones/spill.py
+++ b/stepknot/zones/spill.py
@@ -39,7 +39,11 @@
         self.at = now if self.at is None else max(now, self.at)
 
     def now(self, now: float) -> float:
-        return 0.0 if self.at is None else self.value * math.exp(min(0.0, (self.at - now) / self.memory))
+        return (
+            0.0
+            if self.at is None
+            else self.value * math.exp(min(0.0, (self.at - now) / self.memory))
+        )
 
 
 @dataclass(slots=True)
@@ -91,8 +95,12 @@
             self.ended, self.turned, self.heard_at = self.ended * kept, self.turned * kept, now
         self.ended += 1
         self.turned += overloaded
-        if overloaded and self.ended >= LEAST_HEARD and self.turned > OVERLOAD * self.ended and (
-                now - self.cap_at >= BACK_OFF_EVERY):
+        if (
+            overloaded
+            and self.ended >= LEAST_HEARD
+            and self.turned > OVERLOAD * self.ended
+            and (now - self.cap_at >= BACK_OFF_EVERY)
+        ):
             self.cap, self.cap_at = BACK_OFF * self.sent.now(now), now
 
     def forget(self, now: float) -> None:
--- a/tests/admission/test_forwarded.py
+++ b/tests/admission/test_forwarded.py
@@ -14,23 +14,47 @@
 TRUSTED = Networks(["10.0.0.0/8"])
 
 
-@pytest.mark.parametrize("peer,headers,client", [
-    ("10.0.0.1", {"x-forwarded-for": "203.0.113.7"}, "203.0.113.7"),
-    ("10.0.0.1", {"x-forwarded-for": "1.1.1.1, 203.0.113.7, 10.0.0.2"}, "203.0.113.7"),  # what stands before is made up
-    ("10.0.0.1", {"x-forwarded-for": "10.0.0.9, 10.0.0.2"}, "10.0.0.9"),
-    ("203.0.113.9", {"x-forwarded-for": "10.0.0.9"}, "203.0.113.9"),
-    ("10.0.0.1", {"forwarded": 'for="[2001:db8::1]:4711";proto=https, for=10.0.0.5'}, "2001:db8::1"),
-    ("10.0.0.1", {"forwarded": "For=203.0.113.7:80", "x-forwarded-for": "1.1.1.1"}, "203.0.113.7"),
-    ("10.0.0.1", {"forwarded": "for=unknown, for=10.0.0.5"}, "10.0.0.5"),
-    ("10.0.0.1", {"x-forwarded-for": "nonsense"}, "10.0.0.1"),
-    ("10.0.0.1", {}, "10.0.0.1"),
-    ("10.0.0.1", {"x-forwarded-for": ", ".join(["1.1.1.1"] + ["10.0.0.2"] * 40)}, "10.0.0.2"),  # hops are bounded
-])
-def test_the_client_is_the_nearest_hop_that_is_not_trusted(peer: str, headers: dict[str, str], client: str) -> None:
+@pytest.mark.parametrize(
+    "peer,headers,client",
+    [
+        ("10.0.0.1", {"x-forwarded-for": "203.0.113.7"}, "203.0.113.7"),
+        (
+            "10.0.0.1",
+            {"x-forwarded-for": "1.1.1.1, 203.0.113.7, 10.0.0.2"},
+            "203.0.113.7",
+        ),  # what stands before is made up
+        ("10.0.0.1", {"x-forwarded-for": "10.0.0.9, 10.0.0.2"}, "10.0.0.9"),
+        ("203.0.113.9", {"x-forwarded-for": "10.0.0.9"}, "203.0.113.9"),
+        (
+            "10.0.0.1",
+            {"forwarded": 'for="[2001:db8::1]:4711";proto=https, for=10.0.0.5'},
+            "2001:db8::1",
+        ),
+        (
+            "10.0.0.1",
+            {"forwarded": "For=203.0.113.7:80", "x-forwarded-for": "1.1.1.1"},
+            "203.0.113.7",
+        ),
+        ("10.0.0.1", {"forwarded": "for=unknown, for=10.0.0.5"}, "10.0.0.5"),
+        ("10.0.0.1", {"x-forwarded-for": "nonsense"}, "10.0.0.1"),
+        ("10.0.0.1", {}, "10.0.0.1"),
+        (
+            "10.0.0.1",
+            {"x-forwarded-for": ", ".join(["1.1.1.1"] + ["10.0.0.2"] * 40)},
+            "10.0.0.2",
+        ),  # hops are bounded
+    ],
+)
+def test_the_client_is_the_nearest_hop_that_is_not_trusted(
+    peer: str, headers: dict[str, str], client: str
+) -> None:
     assert shown(client_of(headers, packed(peer), TRUSTED)) == client
 
 
-@given(st.binary(max_size=200), st.sampled_from([b"", b"PROXY ", b"PROXY TCP4 ", SIGNATURE, SIGNATURE + b"\x21\x11"]))
+@given(
+    st.binary(max_size=200),
+    st.sampled_from([b"", b"PROXY ", b"PROXY TCP4 ", SIGNATURE, SIGNATURE + b"\x21\x11"]),
+)
 @settings(max_examples=500, deadline=None, derandomize=True)
 def test_whatever_comes_is_a_header_malformed_or_not_whole(data: bytes, head: bytes) -> None:
     try:
--- a/tests/admission/test_policy.py
+++ b/tests/admission/test_policy.py
@@ -17,15 +17,30 @@
 from stepknot.admission.model import AdmissionSettings, Place, Rank, Reason, Verdict
 from stepknot.admission.policy import Admission, Conduct, Turn
 
-SMALL = AdmissionSettings(per_address=10, per_v4_24=30, per_v6_64=10, per_v6_56=20, rate=1e9, queries=8, held=40,
-                          bytes=100_000, lane=6, reserve=0.25, listed=("10.9.0.0/16",), conduct=5.0, conduct_kept=20,
-                          tracked=16)
+SMALL = AdmissionSettings(
+    per_address=10,
+    per_v4_24=30,
+    per_v6_64=10,
+    per_v6_56=20,
+    rate=1e9,
+    queries=8,
+    held=40,
+    bytes=100_000,
+    lane=6,
+    reserve=0.25,
+    listed=("10.9.0.0/16",),
+    conduct=5.0,
+    conduct_kept=20,
+    tracked=16,
+)
 
 
 class Front:
     """Does what a broker does with verdicts, and checks the bounds after every step."""
 
-    def __init__(self, settings: AdmissionSettings = SMALL, seats: int = 40, lists: Lists | None = None) -> None:
+    def __init__(
+        self, settings: AdmissionSettings = SMALL, seats: int = 40, lists: Lists | None = None
+    ) -> None:
         self.admission = Admission(settings, seats, lists)
         self.now = 1000.0
         self.number = 0
@@ -44,7 +59,9 @@
             self.admission.gone(self.now, number)
         self.check()
 
-    def ask(self, number: int, tenant: str = "", share: float = 0.0, level: int = 0) -> Turn | Verdict:
+    def ask(
+        self, number: int, tenant: str = "", share: float = 0.0, level: int = 0
+    ) -> Turn | Verdict:
         guest = self.admission.guests[number]
         came = self.admission.ask(self.now, number, guest.address, tenant, share, level)
         if isinstance(came, Turn):
@@ -60,27 +77,46 @@
 
     def check(self) -> None:
         admission, settings = self.admission, self.admission.settings
-        seats = Counter(guest.rank for guest in admission.guests.values() if guest.place is Place.SEAT)
+        seats = Counter(
+            guest.rank for guest in admission.guests.values() if guest.place is Place.SEAT
+        )
         assert Counter({rank: count for rank, count in admission.ranked.items() if count}) == seats
         assert seats.total() <= admission.seats
-        assert seats[Rank.UNKNOWN] <= admission.seats - math.ceil(admission.seats * settings.reserve)
+        assert seats[Rank.UNKNOWN] <= admission.seats - math.ceil(
+            admission.seats * settings.reserve
+        )
         lane = sum(guest.place is Place.LANE for guest in admission.guests.values())
         assert lane == len(admission.lane) <= settings.lane
         assert len(self.turns) == admission.up_to(admission.turns, Rank.LISTED) <= settings.held
         unknown = sum(turn.rank is Rank.UNKNOWN for turn in self.turns)
         assert unknown <= settings.held - math.ceil(settings.held * settings.reserve)
-        assert admission.bytes == sum(guest.held for guest in admission.guests.values()) <= settings.bytes
-        assert len(admission.conduct) <= settings.conduct_kept and len(admission.rates.counts) <= settings.tracked
-        open_addresses = {guest.address for guest in admission.guests.values()} | {turn.address for turn in self.turns}
+        assert (
+            admission.bytes
+            == sum(guest.held for guest in admission.guests.values())
+            <= settings.bytes
+        )
+        assert (
+            len(admission.conduct) <= settings.conduct_kept
+            and len(admission.rates.counts) <= settings.tracked
+        )
+        open_addresses = {guest.address for guest in admission.guests.values()} | {
+            turn.address for turn in self.turns
+        }
         assert set(admission.uses) <= open_addresses
-        assert set(admission.seated.held) <= open_addresses and set(admission.laned.held) <= open_addresses
+        assert (
+            set(admission.seated.held) <= open_addresses
+            and set(admission.laned.held) <= open_addresses
+        )
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_generated_sequences_keep_every_bound(seed: int) -> None:
     rng, front = random.Random(seed), Front()
-    pool = [f"10.0.{rng.randrange(3)}.{rng.randrange(6)}" for _ in range(12)] + [
-        f"10.9.0.{each}" for each in range(4)] + [f"fd00:0:0:{each:x}::{rng.randrange(9):x}" for each in range(6)]
+    pool = (
+        [f"10.0.{rng.randrange(3)}.{rng.randrange(6)}" for _ in range(12)]
+        + [f"10.9.0.{each}" for each in range(4)]
+        + [f"fd00:0:0:{each:x}::{rng.randrange(9):x}" for each in range(6)]
+    )
     for _ in range(800):
         front.now += rng.choice([0.0, 0.0, 0.01, 0.5, 3.0, -0.2])
         guests = front.admission.guests
@@ -104,21 +140,30 @@
                 front.check()
             case 8 if laned:
                 number = rng.choice(laned)
-                front.take(number, front.admission.present(front.now, number, rng.choice(["", "ops"])))
+                front.take(
+                    number, front.admission.present(front.now, number, rng.choice(["", "ops"]))
+                )
             case 9 if seated:
                 number = rng.choice(seated)
                 size = rng.randrange(1, 40_000)
                 if front.admission.hold(number, size):
                     front.admission.stir(number)
                 front.check()
-        assert all(turn.number not in front.shed for turn in front.turns)  # nobody is shed with a query in work
+        assert all(
+            turn.number not in front.shed for turn in front.turns
+        )  # nobody is shed with a query in work
         front.shed.clear()
     for number in list(front.admission.guests):
         front.admission.gone(front.now, number)
     for turn in list(front.turns):
         front.answer(turn)
     admission = front.admission
-    assert not admission.uses and not admission.prefixed and not admission.keyed and admission.bytes == 0
+    assert (
+        not admission.uses
+        and not admission.prefixed
+        and not admission.keyed
+        and admission.bytes == 0
+    )
     assert not admission.seated.held and not admission.lanes and not admission.tenants
 
 
@@ -203,15 +248,22 @@
     assert verdict.place is Place.LANE and len(front.admission.lane) == 6 and len(front.shed) > 0
 
 
-@pytest.mark.parametrize("make,cap", [
-    (lambda n: f"fd00:0:0:{n % 256:x}::{n:x}", 20),  # 2,000 addresses of one /56
-    (lambda n: f"fd00:0:0:1::{n:x}", 10),  # of one /64
-    (lambda n: f"10.1.1.{n % 250}", 30)])
+@pytest.mark.parametrize(
+    "make,cap",
+    [
+        (lambda n: f"fd00:0:0:{n % 256:x}::{n:x}", 20),  # 2,000 addresses of one /56
+        (lambda n: f"fd00:0:0:1::{n:x}", 10),  # of one /64
+        (lambda n: f"10.1.1.{n % 250}", 30),
+    ],
+)
 def test_many_addresses_of_one_prefix_count_together(make: object, cap: int) -> None:
     front = Front(seats=400)
     seats = sum(front.arrive(make(each))[1].place is Place.SEAT for each in range(2000))  # type: ignore[operator]
     assert seats == cap
-    assert front.arrive("fd01::1")[1].place is Place.SEAT and front.arrive("10.2.0.1")[1].place is Place.SEAT
+    assert (
+        front.arrive("fd01::1")[1].place is Place.SEAT
+        and front.arrive("10.2.0.1")[1].place is Place.SEAT
+    )
 
 
 def test_a_rate_is_refused_and_forgotten_once_it_stops() -> None:
@@ -285,7 +337,9 @@
 
 
 def test_what_is_worth_less_is_refused_first() -> None:
-    front = Front(replace(SMALL, queries=1000, reserve=0.0, per_address=1000, per_v4_24=1000), seats=2000)
+    front = Front(
+        replace(SMALL, queries=1000, reserve=0.0, per_address=1000, per_v4_24=1000), seats=2000
+    )
     numbers = [front.arrive(f"10.0.{each // 200}.{each % 200}")[0] for each in range(200)]
     taken = 0
     while isinstance(front.ask(numbers[taken], level=4), Turn):
@@ -406,12 +460,22 @@
 
 
 def test_addresses_prefixes_and_networks() -> None:
-    assert packed("::ffff:10.0.0.1") == packed("10.0.0.1") and packed("fe80::1%eth0") == packed("fe80::1")
+    assert packed("::ffff:10.0.0.1") == packed("10.0.0.1") and packed("fe80::1%eth0") == packed(
+        "fe80::1"
+    )
     assert [prefix_shown(each) for each in prefixes(packed("10.1.2.3"))] == ["10.1.2.0/24"]
     assert [prefix_shown(each) for each in prefixes(packed("fd00:1:2:3ff::9"))] == [
-        "fd00:1:2:3ff::/64", "fd00:1:2:300::/56"]
+        "fd00:1:2:3ff::/64",
+        "fd00:1:2:300::/56",
+    ]
     found = Networks(["10.0.0.0/8", "fd00::/8", "192.168.1.1"])
-    for text, held in (("10.255.0.1", True), ("11.0.0.1", False), ("fdff::1", True), ("192.168.1.1", True),
-                       ("192.168.1.2", False), ("::a00:1", False)):
+    for text, held in (
+        ("10.255.0.1", True),
+        ("11.0.0.1", False),
+        ("fdff::1", True),
+        ("192.168.1.1", True),
+        ("192.168.1.2", False),
+        ("::a00:1", False),
+    ):
         assert (packed(text) in found) is held
     assert shown(packed("fd00::1")) == "fd00::1"
--- a/tests/admission/test_sockets.py
+++ b/tests/admission/test_sockets.py
@@ -36,10 +36,24 @@
 
 
 def block(**changed: Any) -> str:
-    values = {"per_address": 20, "per_v4_24": 10_000, "rate": 100_000, "listed": '["127.0.9.0/24"]', "lane": 16,
-              "lane_time": '"500ms"', "connections": 60} | changed
+    values = {
+        "per_address": 20,
+        "per_v4_24": 10_000,
+        "rate": 100_000,
+        "listed": '["127.0.9.0/24"]',
+        "lane": 16,
+        "lane_time": '"500ms"',
+        "connections": 60,
+    } | changed
     lines = [f"  {name} = {value}" for name, value in values.items()]
-    return "\n".join([*lines, '  key "ops" {', f'    sha256 = "{hashlib.sha256(KEY.encode()).hexdigest()}"', "  }"])
+    return "\n".join(
+        [
+            *lines,
+            '  key "ops" {',
+            f'    sha256 = "{hashlib.sha256(KEY.encode()).hexdigest()}"',
+            "  }",
+        ]
+    )
 
 
 @contextmanager
@@ -149,17 +163,27 @@
     assert run.service.graph_server is not None
     client = Client(connect(run.service.graph_server.port, "127.0.0.66"))
     answer = client("POST", "/graphql", {"query": "{__typename}"}, JSON)
-    assert answer.status == 429 and answer.headers["content-type"].startswith("application/graphql-response+json")
+    assert answer.status == 429 and answer.headers["content-type"].startswith(
+        "application/graphql-response+json"
+    )
     (error,) = answer.body["errors"]
-    assert error["extensions"]["code"] == "REQUEST_RATE_LIMITED" and error["extensions"]["retryAfterMs"] > 0
+    assert (
+        error["extensions"]["code"] == "REQUEST_RATE_LIMITED"
+        and error["extensions"]["retryAfterMs"] > 0
+    )
     assert client.rest() == b""
-    assert at(run, "127.0.0.66")("GET", "/reports/_count").body["error"]["type"] == "rejected_execution_exception"
+    assert (
+        at(run, "127.0.0.66")("GET", "/reports/_count").body["error"]["type"]
+        == "rejected_execution_exception"
+    )
 
 
 def test_a_refusal_reaches_a_client_that_is_still_sending(run: Running) -> None:
     fill(run, "127.0.0.66", 20)
     client = at(run, "127.0.0.66")
-    client.sock.sendall(b"POST /reports/_search HTTP/1.1\r\nhost: x\r\ncontent-length: 2000000\r\n\r\n")
+    client.sock.sendall(
+        b"POST /reports/_search HTTP/1.1\r\nhost: x\r\ncontent-length: 2000000\r\n\r\n"
+    )
     assert client.read().status == 429
     client.sock.sendall(b"x" * 2_000_000)  # read off: a reset could have taken the answer away
     assert client.sock.recv(1) == b""
@@ -172,7 +196,9 @@
     assert client("POST", SEARCH, None, KEYED).status == 200
     assert client("POST", SEARCH, None, KEYED).status == 200
     assert view(run)["seats"]["listed"] == 1
-    assert at(run, "127.0.0.66")("POST", SEARCH, None, "authorization: ApiKey wrong\r\n").status == 429
+    assert (
+        at(run, "127.0.0.66")("POST", SEARCH, None, "authorization: ApiKey wrong\r\n").status == 429
+    )
     assert held[0]("GET", "/reports/_count").status == 200
 
 
@@ -191,8 +217,12 @@
     for box in run.boxes:
         box.script = held
     heavy[0].ask("POST", SEARCH)
-    until(lambda: any(box.work() and box.work()[-1].body.count(b"multi") == 0 for box in run.boxes)
-          and view(run)["queries"] == 1)
+    until(
+        lambda: (
+            any(box.work() and box.work()[-1].body.count(b"multi") == 0 for box in run.boxes)
+            and view(run)["queries"] == 1
+        )
+    )
     newcomer = at(run, "127.0.1.4")
     newcomer.ask("GET", "/")
     assert newcomer.read().status == 200
@@ -220,8 +250,13 @@
         client = at(run, KNOWN)
         answers.append(client("GET", "/reports/_count").status)
         kept.append(client)
-    assert answers.count(200) == 30 and answers.count(429) == 70  # of sixty seats: as many as are free
-    assert at(run, "127.0.3.1")("GET", "/").status == 200 and at(run, "127.0.9.2")("GET", "/").status == 200
+    assert (
+        answers.count(200) == 30 and answers.count(429) == 70
+    )  # of sixty seats: as many as are free
+    assert (
+        at(run, "127.0.3.1")("GET", "/").status == 200
+        and at(run, "127.0.9.2")("GET", "/").status == 200
+    )
 
 
 def test_thousands_of_pipelined_requests_on_one_connection(run: Running) -> None:
@@ -255,16 +290,28 @@
         assert client.read().status == 200
 
 
-@pytest.mark.parametrize("head", [
-    b"GET /reports/_count HTTP/1.1\r\nhost: x\r\nx-a: ",
-    b"POST /reports/_search HTTP/1.1\r\nhost: x\r\ncontent-length: 5000\r\n\r\n"], ids=["header", "body"])
+@pytest.mark.parametrize(
+    "head",
+    [
+        b"GET /reports/_count HTTP/1.1\r\nhost: x\r\nx-a: ",
+        b"POST /reports/_search HTTP/1.1\r\nhost: x\r\ncontent-length: 5000\r\n\r\n",
+    ],
+    ids=["header", "body"],
+)
 def test_slow_senders_that_hold_every_seat_are_told_and_closed(tmp_path: Path, head: bytes) -> None:
     """A byte now and then is no progress: each gets its 408, and the seats are free again."""
     with gated(tmp_path, grace='"300ms"', progress=1000, connections=25, reserve=0.0) as run:
         slow = [at(run, f"127.0.4.{each % 5 + 1}") for each in range(25)]
         for each in slow:
             each.sock.sendall(head)
-        until(lambda: run.call(lambda: sum(each.parser.started for each in run.service.server.connections)) == 25)
+        until(
+            lambda: (
+                run.call(
+                    lambda: sum(each.parser.started for each in run.service.server.connections)
+                )
+                == 25
+            )
+        )
         assert at(run, "127.0.5.1")("GET", "/reports/_count").status == 429  # none of them is idle
         stop = threading.Event()
 
@@ -289,22 +336,48 @@
 
 def test_a_slow_reader_of_a_large_answer_is_closed(tmp_path: Path) -> None:
     with gated(tmp_path, grace='"300ms"', progress=5_000_000) as run:
+
         def large(call: Call) -> None:
             if call.probe or b'"ids"' not in call.body:
                 return call.serve()
-            return call.reply({"took": 0, "responses": [
-                {"took": 0, "timed_out": False, "status": 200,
-                 "_shards": {"total": 1, "successful": 1, "skipped": 0, "failed": 0},
-                 "hits": {"total": {"value": 1, "relation": "eq"}, "max_score": 1.0, "hits": [
-                     {"_index": "reports", "_id": name, "_score": 1.0, "_source": {"name": "n" * 10_000_000}}
-                     for name in body["query"]["ids"]["values"]]}} for _, body in call.parts]})
+            return call.reply(
+                {
+                    "took": 0,
+                    "responses": [
+                        {
+                            "took": 0,
+                            "timed_out": False,
+                            "status": 200,
+                            "_shards": {"total": 1, "successful": 1, "skipped": 0, "failed": 0},
+                            "hits": {
+                                "total": {"value": 1, "relation": "eq"},
+                                "max_score": 1.0,
+                                "hits": [
+                                    {
+                                        "_index": "reports",
+                                        "_id": name,
+                                        "_score": 1.0,
+                                        "_source": {"name": "n" * 10_000_000},
+                                    }
+                                    for name in body["query"]["ids"]["values"]
+                                ],
+                            },
+                        }
+                        for _, body in call.parts
+                    ],
+                }
+            )
 
         for box in run.boxes:
             box.script = large
         client = at(run, "127.0.0.9")
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.ask("POST", SEARCH)
-        until(lambda: run.call(lambda: any(each.link.unsent for each in run.service.server.connections)))
+        until(
+            lambda: run.call(
+                lambda: any(each.link.unsent for each in run.service.server.connections)
+            )
+        )
         end = time.monotonic() + WAIT
         while run.call(lambda: len(run.service.server.connections)) and time.monotonic() < end:
             client.sock.recv(2000)  # slowly
@@ -316,8 +389,13 @@
     from dataclasses import replace
 
     held = fill(run, "127.0.0.66", 20)
-    run.call(lambda: setattr(run.service.gate.admission, "settings",  # type: ignore[union-attr]
-                             replace(run.service.gate.settings, per_address=5)))  # type: ignore[union-attr]
+    run.call(
+        lambda: setattr(
+            run.service.gate.admission,
+            "settings",  # type: ignore[union-attr]
+            replace(run.service.gate.settings, per_address=5),
+        )
+    )  # type: ignore[union-attr]
     assert at(run, "127.0.0.66")("GET", "/reports/_count").status == 429
     assert [each("GET", "/reports/_count").status for each in held] == [200] * 20
     for each in held[:16]:
@@ -338,15 +416,25 @@
 @pytest.fixture
 def behind(tmp_path: Path) -> Iterator[Running]:
     """A broker behind a layer that speaks PROXY and is trusted; others are not."""
-    with gated(tmp_path, trusted='["127.0.0.1/32"]', proxy_protocol="true", per_address=3) as running:
+    with gated(
+        tmp_path, trusted='["127.0.0.1/32"]', proxy_protocol="true", per_address=3
+    ) as running:
         yield running
 
 
 def test_caps_go_by_the_address_that_a_trusted_proxy_tells(behind: Running) -> None:
     line = b"PROXY TCP4 203.0.113.7 127.0.0.1 5000 9200\r\n"
     clients = [proxied(behind, line) for _ in range(5)]
-    assert sorted(each("GET", "/reports/_count").status for each in clients) == [200] * 3 + [429] * 2
-    block = SIGNATURE + bytes([0x21, 0x11]) + struct.pack(">H", 12) + socket.inet_aton("203.0.113.8") + bytes(8)
+    assert (
+        sorted(each("GET", "/reports/_count").status for each in clients) == [200] * 3 + [429] * 2
+    )
+    block = (
+        SIGNATURE
+        + bytes([0x21, 0x11])
+        + struct.pack(">H", 12)
+        + socket.inet_aton("203.0.113.8")
+        + bytes(8)
+    )
     other = proxied(behind, block)
     assert other("GET", "/reports/_count").status == 200
     local = SIGNATURE + bytes([0x20, 0, 0, 0])
@@ -355,11 +443,19 @@
     assert {"203.0.113.7", "203.0.113.8"} <= connected
 
 
-@pytest.mark.parametrize("header", [
-    b"PROXY TCP4 999.0.0.1 127.0.0.1 1 2\r\n", b"PROXY TCP4 1.2.3.4 127.0.0.1 1\r\n", b"PROXY " + b"x" * 200,
-    b"GET / HTTP/1.1\r\n\r\n", SIGNATURE + bytes([0x31, 0x11, 0, 12]) + bytes(12),
-    SIGNATURE + bytes([0x21, 0x11, 0xFF, 0xFF]), b"PROXY TCP6 1.2.3.4 ::1 1 2\r\n",
-    b"PROXY TCP4 1.2.3.4 5.6.7.8 1 70000\r\n"])
+@pytest.mark.parametrize(
+    "header",
+    [
+        b"PROXY TCP4 999.0.0.1 127.0.0.1 1 2\r\n",
+        b"PROXY TCP4 1.2.3.4 127.0.0.1 1\r\n",
+        b"PROXY " + b"x" * 200,
+        b"GET / HTTP/1.1\r\n\r\n",
+        SIGNATURE + bytes([0x31, 0x11, 0, 12]) + bytes(12),
+        SIGNATURE + bytes([0x21, 0x11, 0xFF, 0xFF]),
+        b"PROXY TCP6 1.2.3.4 ::1 1 2\r\n",
+        b"PROXY TCP4 1.2.3.4 5.6.7.8 1 70000\r\n",
+    ],
+)
 def test_malformed_proxy_headers_are_a_400(behind: Running, header: bytes) -> None:
     assert proxied(behind, header).read().status == 400
     assert proxied(behind, b"PROXY UNKNOWN\r\n")("GET", "/reports/_count").status == 200
@@ -372,9 +468,15 @@
     stranger.sock.close()
     until(lambda: view(behind)["seats"]["unknown"] == 0)
     held = [at(behind, "127.0.0.77") for _ in range(4)]
-    spoofed = [each("GET", "/reports/_count", None,
-                    f"x-forwarded-for: 10.9.8.{place}\r\nforwarded: for=10.1.1.1\r\n").status
-               for place, each in enumerate(held)]
+    spoofed = [
+        each(
+            "GET",
+            "/reports/_count",
+            None,
+            f"x-forwarded-for: 10.9.8.{place}\r\nforwarded: for=10.1.1.1\r\n",
+        ).status
+        for place, each in enumerate(held)
+    ]
     assert sorted(spoofed) == [200] * 3 + [429]
 
 
@@ -385,8 +487,12 @@
         client = Client(connect(run.service.graph_server.port, "127.0.0.1"))
 
         def ask(address: str) -> int:
-            return client("POST", "/graphql", {"query": "{reports(first: 0){totalCount}}"},
-                          f"{JSON}x-forwarded-for: {address}\r\n").status
+            return client(
+                "POST",
+                "/graphql",
+                {"query": "{reports(first: 0){totalCount}}"},
+                f"{JSON}x-forwarded-for: {address}\r\n",
+            ).status
 
         assert [ask("203.0.113.7"), ask("203.0.113.7"), ask("203.0.113.8")] == [200, 429, 200]
 
@@ -412,13 +518,19 @@
             return int(run.call(ask))
 
         assert post("/admission/ban", network="127.0.6.0/24", seconds="600") == 200
-        assert post("/admission/ban", network="127.0.6.1/24") == 400 and post("/admission/nothing") == 404
+        assert (
+            post("/admission/ban", network="127.0.6.1/24") == 400
+            and post("/admission/nothing") == 404
+        )
         banned = at(run, "127.0.6.1")("GET", "/", None, KEYED)
         assert banned.status == 429 and "banned" in banned.body["error"]["reason"]
         assert post("/admission/allow", network="127.0.6.9/32") == 200
         assert at(run, "127.0.6.9")("GET", "/").status == 200
     with gated(tmp_path, **state) as run:
-        assert at(run, "127.0.6.1")("GET", "/").status == 429 and at(run, "127.0.6.9")("GET", "/").status == 200
+        assert (
+            at(run, "127.0.6.1")("GET", "/").status == 429
+            and at(run, "127.0.6.9")("GET", "/").status == 200
+        )
     path = tmp_path / "admission.state"
     path.write_bytes(path.read_bytes()[:-20])
     with gated(tmp_path, **state) as run:
@@ -431,19 +543,39 @@
 
 
 @contextmanager
-def lowered(folder: Path, limit: int, **changed: Any) -> Iterator[tuple[int, int, subprocess.Popen[bytes], Path]]:
+def lowered(
+    folder: Path, limit: int, **changed: Any
+) -> Iterator[tuple[int, int, subprocess.Popen[bytes], Path]]:
     port, graph, admin = free_ports(3)
     boxes = [ScriptedBox(), ScriptedBox()]
-    (folder / "broker.hcl").write_text(settings_text(
-        port=port, graph=graph, admin=admin, instances=1, cells=2, shards=2,
-        admission=block(connections=0, **changed)))
-    (folder / "boxes.json").write_bytes(orjson.dumps({"boxes": [
-        {"address": each.address, "cell": place} for place, each in enumerate(boxes)]}))
+    (folder / "broker.hcl").write_text(
+        settings_text(
+            port=port,
+            graph=graph,
+            admin=admin,
+            instances=1,
+            cells=2,
+            shards=2,
+            admission=block(connections=0, **changed),
+        )
+    )
+    (folder / "boxes.json").write_bytes(
+        orjson.dumps(
+            {
+                "boxes": [
+                    {"address": each.address, "cell": place} for place, each in enumerate(boxes)
+                ]
+            }
+        )
+    )
     log = folder / "broker.log"
     with log.open("wb") as errors:
-        process = subprocess.Popen([sys.executable, "-m", "stepknot", "serve", str(folder / "broker.hcl")],
-                                   stdout=subprocess.PIPE, stderr=errors,
-                                   preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit)))
+        process = subprocess.Popen(
+            [sys.executable, "-m", "stepknot", "serve", str(folder / "broker.hcl")],
+            stdout=subprocess.PIPE,
+            stderr=errors,
+            preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit)),
+        )
     try:
         read_ready(process, "broker")
         yield port, admin, process, log
@@ -488,21 +620,33 @@
             assert descriptors_of(process.pid) <= 128
         assert refused == {429: 300}
         idle = time.monotonic()
-        select.select([], [], [], 1.0)  # held at the limit, with nobody asking: the loop must not spin
+        select.select(
+            [], [], [], 1.0
+        )  # held at the limit, with nobody asking: the loop must not spin
         assert cpu_of(process.pid) - cpu < 0.9 * (time.monotonic() - begun) and idle > begun
         used = cpu_of(process.pid)
         select.select([], [], [], 1.0)
         assert cpu_of(process.pid) - used < 0.3
         sock = connect(admin, "127.0.0.1")
         found = Client(sock)("GET", "/admission").body
-        assert found["budgets"]["limit"] == 128 and found["seats"]["unknown"] <= found["budgets"]["clients"]
+        assert (
+            found["budgets"]["limit"] == 128
+            and found["seats"]["unknown"] <= found["budgets"]["clients"]
+        )
         for holder in holders:
             holder.sock.close()
-        until(lambda: Client(connect(admin, "127.0.0.1"))("GET", "/admission").body["seats"]["unknown"] == 0)
+        until(
+            lambda: (
+                Client(connect(admin, "127.0.0.1"))("GET", "/admission").body["seats"]["unknown"]
+                == 0
+            )
+        )
         assert Client(connect(port, "127.0.20.1"))("GET", "/reports/_count").status == 200
 
 
-def test_when_descriptors_run_out_all_the_same_the_spare_one_lets_refusals_leave(tmp_path: Path) -> None:
+def test_when_descriptors_run_out_all_the_same_the_spare_one_lets_refusals_leave(
+    tmp_path: Path,
+) -> None:
     """The limit is lowered under a running broker: accept fails, and whoever waits is told, not left waiting."""
     with lowered(tmp_path, 256, per_address=400, per_v4_24=400) as (port, _, process, log):
         known = Client(connect(port, KNOWN))
--- a/tests/broker/scripted.py
+++ b/tests/broker/scripted.py
@@ -46,7 +46,11 @@
 
     @property
     def token(self) -> str:
-        return next(line[13:] for line in self.head.split("\r\n") if line.lower().startswith("x-opaque-id: "))
+        return next(
+            line[13:]
+            for line in self.head.split("\r\n")
+            if line.lower().startswith("x-opaque-id: ")
+        )
 
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
@@ -83,20 +87,38 @@
             hit["_source"] = {"name": name, "title": name, "club": "c"}
         rows.append(hit)
     hits = {"total": {"value": 1, "relation": "eq"}, "max_score": 1.0, "hits": rows}
-    answer = {"took": 0, "timed_out": False, "status": 200, "hits": hits,
-              "_shards": {"total": 1, "successful": 1, "skipped": 0, "failed": 0}}
+    answer = {
+        "took": 0,
+        "timed_out": False,
+        "status": 200,
+        "hits": hits,
+        "_shards": {"total": 1, "successful": 1, "skipped": 0, "failed": 0},
+    }
     if "aggs" in body:
-        answer["aggregations"] = {name: {"buckets": {key: {"doc_count": 1, "bestRating": {"value": shard}}
-                                                     for key in each["filters"]["filters"]}}
-                                  for name, each in body["aggs"].items()}
+        answer["aggregations"] = {
+            name: {
+                "buckets": {
+                    key: {"doc_count": 1, "bestRating": {"value": shard}}
+                    for key in each["filters"]["filters"]
+                }
+            }
+            for name, each in body["aggs"].items()
+        }
     return answer
 
 
 def bulk_answer(body: bytes) -> dict[str, Any]:
     line = orjson.loads(body.split(b"\n")[0])
     ((action, meta),) = line.items()
-    item = {**meta, "_version": 1, "result": "created", "_seq_no": 0, "_primary_term": 1, "status": 201,
-            "_shards": {"total": 1, "successful": 1, "failed": 0}}
+    item = {
+        **meta,
+        "_version": 1,
+        "result": "created",
+        "_seq_no": 0,
+        "_primary_term": 1,
+        "status": 201,
+        "_shards": {"total": 1, "successful": 1, "failed": 0},
+    }
     return {"took": 0, "errors": False, "items": [{action: item}]}
 
 
@@ -115,7 +137,9 @@
                 sock, _ = self.listener.accept()
             except OSError:
                 return
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # what is sent is there when sendall returns
+            sock.setsockopt(
+                socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
+            )  # what is sent is there when sendall returns
             self.socks.append(sock)
             threading.Thread(target=self.converse, args=(sock,), daemon=True).start()
 
@@ -157,8 +181,14 @@
                     data += chunk
                 head, _, data = data.partition(b"\r\n\r\n")
                 text = head.decode()
-                length = next((int(line[15:]) for line in text.split("\r\n")
-                               if line.lower().startswith("content-length:")), 0)
+                length = next(
+                    (
+                        int(line[15:])
+                        for line in text.split("\r\n")
+                        if line.lower().startswith("content-length:")
+                    ),
+                    0,
+                )
                 while len(data) < length:
                     data += sock.recv(1 << 20)
                 call = Call(self, sock, text, data[:length])
@@ -241,10 +271,19 @@
         self.call(lambda: self.service.loop.turn_hooks.append(stall))
         return stalls
 
-    def write_list(self, states: dict[int, str] | None = None, gone: set[int] | None = None) -> None:
-        rows = [{"address": box.address, "cell": self.cells[number], "zone": "a",
-                 "state": (states or {}).get(number, "live")}
-                for number, box in enumerate(self.boxes) if number not in (gone or set())]
+    def write_list(
+        self, states: dict[int, str] | None = None, gone: set[int] | None = None
+    ) -> None:
+        rows = [
+            {
+                "address": box.address,
+                "cell": self.cells[number],
+                "zone": "a",
+                "state": (states or {}).get(number, "live"),
+            }
+            for number, box in enumerate(self.boxes)
+            if number not in (gone or set())
+        ]
         path = self.folder / "boxes.json"
         path.with_suffix(".new").write_bytes(orjson.dumps({"boxes": rows}))
         path.with_suffix(".new").rename(path)
@@ -255,7 +294,9 @@
     """One broker and a scripted box for each entry of `cells`."""
     boxes = [ScriptedBox() for _ in cells]
     path = folder / "broker.hcl"
-    path.write_text(settings_text(port=0, instances=1, cells=max(cells) + 1, shards=shards, **settings))
+    path.write_text(
+        settings_text(port=0, instances=1, cells=max(cells) + 1, shards=shards, **settings)
+    )
     running = Running(None, boxes, folder, cells, None)  # type: ignore[arg-type]
     running.write_list()
     service = make(load(path), lambda event, **fields: running.logged.append((event, fields)))
@@ -283,7 +324,9 @@
 
     def ask(self, method: str, path: str, body: Any = None, headers: str = "") -> None:
         data = b"" if body is None else body if isinstance(body, bytes) else orjson.dumps(body)
-        head = f"{method} {path} HTTP/1.1\r\nhost: x\r\n{headers}content-length: {len(data)}\r\n\r\n"
+        head = (
+            f"{method} {path} HTTP/1.1\r\nhost: x\r\n{headers}content-length: {len(data)}\r\n\r\n"
+        )
         self.sock.sendall(head.encode() + data)
 
     def read(self) -> Answer:
@@ -291,7 +334,9 @@
             self.more()
         head, _, rest = self.data.partition(b"\r\n\r\n")
         lines = head.decode().split("\r\n")
-        headers = {name.lower(): value for name, _, value in (line.partition(": ") for line in lines[1:])}
+        headers = {
+            name.lower(): value for name, _, value in (line.partition(": ") for line in lines[1:])
+        }
         length = int(headers["content-length"])
         pieces, size = [rest], len(rest)
         while size < length:
@@ -303,7 +348,11 @@
         self.data = rest[length:]
         status = int(lines[0].split(" ")[1])
         body = rest[:length]
-        return Answer(status, headers, orjson.loads(body) if "json" in headers["content-type"] and body else body)
+        return Answer(
+            status,
+            headers,
+            orjson.loads(body) if "json" in headers["content-type"] and body else body,
+        )
 
     def more(self) -> None:
         chunk = self.sock.recv(1 << 20)
--- a/tests/broker/test_hard_cases.py
+++ b/tests/broker/test_hard_cases.py
@@ -57,7 +57,9 @@
     run.boxes[0].script = silent
     answers = [client("POST", SEARCH) for _ in range(6)]
     assert [each.status for each in answers] == [200] * 6
-    assert all(names(each.body) == {"s0", "s1"} and each.body["_shards"]["failed"] == 0 for each in answers)
+    assert all(
+        names(each.body) == {"s0", "s1"} and each.body["_shards"]["failed"] == 0 for each in answers
+    )
 
 
 def test_one_section_never_answers_a_lookup(run: Running, client: Client) -> None:
@@ -76,12 +78,22 @@
         run.boxes[3].script = silent
         answer = client("POST", SEARCH + "?timeout=700ms")
         assert answer.status == 200
-        assert answer.body["_shards"] | {"failures": 0} == {"total": 4, "successful": 3, "skipped": 0, "failed": 1,
-                                                            "failures": 0}
+        assert answer.body["_shards"] | {"failures": 0} == {
+            "total": 4,
+            "successful": 3,
+            "skipped": 0,
+            "failed": 1,
+            "failures": 0,
+        }
         assert answer.body["_shards"]["failures"][0]["shard"] == 3
-        assert answer.body["hits"]["total"]["relation"] == "gte" and answer.body["timed_out"] is True
+        assert (
+            answer.body["hits"]["total"]["relation"] == "gte" and answer.body["timed_out"] is True
+        )
         strict = client("POST", SEARCH + "?timeout=700ms&allow_partial_search_results=false")
-        assert strict.status == 503 and strict.body["error"]["type"] == "search_phase_execution_exception"
+        assert (
+            strict.status == 503
+            and strict.body["error"]["type"] == "search_phase_execution_exception"
+        )
 
 
 def test_under_its_least_share_there_is_no_answer(tmp_path: Path) -> None:
@@ -126,7 +138,10 @@
                 return
             struck.append(len(call.parts))
             data = orjson.dumps({"responses": [shard_answer(*pair) for pair in call.parts]})
-            call.send(f"HTTP/1.1 200 OK\r\ncontent-length: {len(data)}\r\n\r\n".encode() + data[:len(data) // 2])
+            call.send(
+                f"HTTP/1.1 200 OK\r\ncontent-length: {len(data)}\r\n\r\n".encode()
+                + data[: len(data) // 2]
+            )
             call.reset()
 
         run.boxes[0].script = run.boxes[1].script = half
@@ -136,14 +151,20 @@
         assert len(names(answer.body)) == 16 and answer.body["hits"]["total"]["value"] == 16
 
 
-@pytest.mark.parametrize("data", [
-    b"\x00\x01garbage\r\n\r\n", b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\n{{{{{",
-    b"HTTP/1.1 200 OK\r\ncontent-length: 16\r\n\r\n{\"responses\":[]}",
-    b"HTTP/1.1 200 OK\r\ncontent-length: 99999999999\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}",
-    b"HTTP/1.1 200 OK\r\ncontent-encoding: gzip\r\ncontent-length: 4\r\n\r\nabcd",
-])
-def test_a_malformed_reply_is_an_error_of_its_own_part_only(run: Running, client: Client, data: bytes) -> None:
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"\x00\x01garbage\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\n{{{{{",
+        b'HTTP/1.1 200 OK\r\ncontent-length: 16\r\n\r\n{"responses":[]}',
+        b"HTTP/1.1 200 OK\r\ncontent-length: 99999999999\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}",
+        b"HTTP/1.1 200 OK\r\ncontent-encoding: gzip\r\ncontent-length: 4\r\n\r\nabcd",
+    ],
+)
+def test_a_malformed_reply_is_an_error_of_its_own_part_only(
+    run: Running, client: Client, data: bytes
+) -> None:
     def bad(call: Call) -> None:
         if call.probe:
             call.serve()
@@ -171,7 +192,9 @@
 
 
 @pytest.mark.parametrize("count", [0, 2])
-def test_more_or_fewer_replies_than_parts_are_an_error_of_that_call(run: Running, client: Client, count: int) -> None:
+def test_more_or_fewer_replies_than_parts_are_an_error_of_that_call(
+    run: Running, client: Client, count: int
+) -> None:
     def miscounts(call: Call) -> None:
         if call.probe:
             call.serve()
@@ -200,13 +223,17 @@
         run.boxes[0].script = padded
         size = 30 * 1024 * 1024
         answer = client("POST", SEARCH + "?timeout=3s")
-        assert answer.status == 200 and len(answer.body["hits"]["hits"][0]["_source"]["pad"]) == size
+        assert (
+            answer.status == 200 and len(answer.body["hits"]["hits"][0]["_source"]["pad"]) == size
+        )
         size = 70 * 1024 * 1024
         answer = client("POST", SEARCH + "?timeout=3s")
         assert answer.status in (429, 503) or answer.body["_shards"]["failed"] == 1
 
 
-def test_a_kept_connection_closed_as_an_unsafe_part_is_written(run: Running, client: Client) -> None:
+def test_a_kept_connection_closed_as_an_unsafe_part_is_written(
+    run: Running, client: Client
+) -> None:
     """Whole to the box, then no answer: it may have run, so it is not sent again, and nothing is promised."""
     assert client("PUT", "/reports/_create/a", {"n": 1}).status == 201
     for box in run.boxes:
@@ -217,7 +244,9 @@
     assert sum(len(box.work()) for box in run.boxes) == before + 1
 
 
-def test_a_kept_connection_that_the_box_had_closed_is_not_used_for_a_write(run: Running, client: Client) -> None:
+def test_a_kept_connection_that_the_box_had_closed_is_not_used_for_a_write(
+    run: Running, client: Client
+) -> None:
     for _ in range(8):
         assert client("PUT", "/reports/_create/a", {"n": 1}).status == 201
     for box in run.boxes:
@@ -227,12 +256,16 @@
         assert client("PUT", "/reports/_create/a", {"n": 1}).status == 201
 
 
-def test_a_kept_connection_with_bytes_nobody_asked_for_is_not_used(run: Running, client: Client) -> None:
+def test_a_kept_connection_with_bytes_nobody_asked_for_is_not_used(
+    run: Running, client: Client
+) -> None:
     """They would be taken for the answer to the next call."""
     for _ in range(8):
         assert client("PUT", "/reports/_create/a", {"n": 1}).status == 201
     capsules = run.service.core.module.capsules.values()
-    assert wait_for(lambda: not run.call(lambda: any(each.asked for each in capsules)))  # no question is out
+    assert wait_for(
+        lambda: not run.call(lambda: any(each.asked for each in capsules))
+    )  # no question is out
     stray = b"HTTP/1.1 500 Late\r\ncontent-length: 2\r\n\r\n{}"
     for box in run.boxes:
         for sock in box.socks:
@@ -242,7 +275,9 @@
 
 
 @pytest.mark.parametrize("whole", [True, False])
-def test_an_unsafe_part_that_was_turned_away_goes_elsewhere(run: Running, client: Client, whole: bool) -> None:
+def test_an_unsafe_part_that_was_turned_away_goes_elsewhere(
+    run: Running, client: Client, whole: bool
+) -> None:
     """The whole call, or the write within it."""
     seen: list[str] = []
 
@@ -322,7 +357,9 @@
     return False
 
 
-def test_pipelined_queries_of_which_one_fails_are_answered_in_order(run: Running, client: Client) -> None:
+def test_pipelined_queries_of_which_one_fails_are_answered_in_order(
+    run: Running, client: Client
+) -> None:
     bad = {"query": {"nonsense": {}}}
     for path, body in ((SEARCH, None), (SEARCH, bad), (SEARCH, None), ("/nowhere/_count", None)):
         client.ask("POST", path, body)
@@ -331,7 +368,9 @@
     assert names(answers[2].body) == {"s0", "s1"}
 
 
-def test_a_drained_box_gets_nothing_new_though_a_query_is_held_there(run: Running, client: Client) -> None:
+def test_a_drained_box_gets_nothing_new_though_a_query_is_held_there(
+    run: Running, client: Client
+) -> None:
     gate = threading.Event()
 
     def held(call: Call) -> None:
@@ -344,10 +383,16 @@
     assert wait_any(run.boxes[:2], lambda box: len(box.work()) > 0)
     first = next(number for number in (0, 1) if run.boxes[number].work())
     run.write_list({first: "draining"})
-    assert wait_for(lambda: ("box_listed", run.boxes[first].address, "draining") in {
-        (event, fields.get("box"), fields.get("state")) for event, fields in run.logged})
+    assert wait_for(
+        lambda: (
+            ("box_listed", run.boxes[first].address, "draining")
+            in {(event, fields.get("box"), fields.get("state")) for event, fields in run.logged}
+        )
+    )
     before = len(run.boxes[first].work())
-    run.boxes[1 - first].script = run.boxes[2].script = run.boxes[3].script = lambda call: call.serve()
+    run.boxes[1 - first].script = run.boxes[2].script = run.boxes[3].script = lambda call: (
+        call.serve()
+    )
     gate.set()
     assert client.read().status == 200
     for _ in range(5):
@@ -395,7 +440,9 @@
     stayer.ask("POST", SEARCH)
     go.set()
     assert names(stayer.read().body) == {"s0", "s1"}
-    assert run.call(lambda: (run.service.core.counts["queries"] - taken, run.service.server.deserted)) == (1, 5)
+    assert run.call(
+        lambda: (run.service.core.counts["queries"] - taken, run.service.server.deserted)
+    ) == (1, 5)
 
 
 def test_the_clients_time_counts_from_when_its_request_was_there(run: Running) -> None:
@@ -417,12 +464,15 @@
 
 
 def test_no_second_answer_follows_one_that_closes(run: Running, client: Client) -> None:
-    client.sock.sendall(b"GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n\0\0nonsense\r\n\r\n")
+    client.sock.sendall(
+        b"GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n\0\0nonsense\r\n\r\n"
+    )
     assert client.rest().count(b"HTTP/1.1 ") == 1
 
 
 def test_a_slow_reader_of_a_large_answer_holds_up_nobody(tmp_path: Path) -> None:
     with broker(tmp_path, [0], shards=1) as run:
+
         def large(call: Call) -> None:
             if call.probe:
                 call.serve()
@@ -485,7 +535,9 @@
         box.script = silent
     client = Client(run.connect())
     client.ask("POST", SEARCH)
-    until(lambda: run.call(lambda: len(run.service.core.out)))  # of this query: all others have ended
+    until(
+        lambda: run.call(lambda: len(run.service.core.out))
+    )  # of this query: all others have ended
     run.call(run.service.stop)
     assert client.read().status == 429
     run.thread.join(5)
@@ -503,16 +555,31 @@
     return Client(sock).rest()
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (b"NONSENSE\r\n\r\n", b"400"), (b"GET / HTTP/9.9\r\n\r\n", b"400"),
-    (b"GET /" + b"x" * 5000 + b" HTTP/1.1\r\nhost: x\r\n\r\n", b"414"),
-    (b"GET / HTTP/1.1\r\nhost: x\r\nx: " + b"y" * 20_000 + b"\r\n\r\n", b"431"),
-    (b"POST /_bulk HTTP/1.1\r\nhost: x\r\ncontent-length: 99999999\r\n\r\n", b"413"),
-    (b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 1\r\ntransfer-encoding: chunked\r\n\r\n", b"400"),
-    (b"POST /_search HTTP/1.1\r\nhost: x\r\ncontent-encoding: br\r\ncontent-length: 1\r\n\r\nx", b"415"),
-    (b"POST /_search HTTP/1.1\r\nhost: x\r\ncontent-encoding: gzip\r\ncontent-length: 1\r\n\r\nx", b"400"),
-])
-def test_bad_http_gets_its_error_and_an_orderly_close(run: Running, data: bytes, status: bytes) -> None:
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (b"NONSENSE\r\n\r\n", b"400"),
+        (b"GET / HTTP/9.9\r\n\r\n", b"400"),
+        (b"GET /" + b"x" * 5000 + b" HTTP/1.1\r\nhost: x\r\n\r\n", b"414"),
+        (b"GET / HTTP/1.1\r\nhost: x\r\nx: " + b"y" * 20_000 + b"\r\n\r\n", b"431"),
+        (b"POST /_bulk HTTP/1.1\r\nhost: x\r\ncontent-length: 99999999\r\n\r\n", b"413"),
+        (
+            b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 1\r\ntransfer-encoding: chunked\r\n\r\n",
+            b"400",
+        ),
+        (
+            b"POST /_search HTTP/1.1\r\nhost: x\r\ncontent-encoding: br\r\ncontent-length: 1\r\n\r\nx",
+            b"415",
+        ),
+        (
+            b"POST /_search HTTP/1.1\r\nhost: x\r\ncontent-encoding: gzip\r\ncontent-length: 1\r\n\r\nx",
+            b"400",
+        ),
+    ],
+)
+def test_bad_http_gets_its_error_and_an_orderly_close(
+    run: Running, data: bytes, status: bytes
+) -> None:
     answer = raw(run, data)
     assert answer.startswith(b"HTTP/1.1 " + status) and b"connection: close" in answer
     assert orjson.loads(answer.partition(b"\r\n\r\n")[2])["status"] == int(status)
@@ -525,13 +592,21 @@
     deep = b'{"query":' * 40 + b"1" + b"}" * 40
     answer = client("POST", SEARCH, deep)
     assert answer.status == 400 and "nested over" in answer.body["error"]["reason"]
-    assert client("POST", SEARCH, b'{"query": {"match_all": {}}').body["error"]["type"] == "json_parse_exception"
-    assert client("POST", SEARCH, gzip.compress(b'{"size": 1}'), "content-encoding: gzip\r\n").status == 200
+    assert (
+        client("POST", SEARCH, b'{"query": {"match_all": {}}').body["error"]["type"]
+        == "json_parse_exception"
+    )
+    assert (
+        client("POST", SEARCH, gzip.compress(b'{"size": 1}'), "content-encoding: gzip\r\n").status
+        == 200
+    )
 
 
 def test_chunked_bodies_head_and_keep_alive(run: Running, client: Client) -> None:
-    client.sock.sendall(b"POST /reports/_search HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n"
-                        b"5\r\n{\"siz\r\n6\r\ne\": 1}\r\n0\r\n\r\n")
+    client.sock.sendall(
+        b"POST /reports/_search HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n"
+        b'5\r\n{"siz\r\n6\r\ne": 1}\r\n0\r\n\r\n'
+    )
     assert len(client.read().body["hits"]["hits"]) == 1
     client.ask("HEAD", "/")
     while b"\r\n\r\n" not in client.data:
@@ -544,8 +619,10 @@
 
 
 def test_a_sender_that_waits_for_a_word_gets_it(run: Running, client: Client) -> None:
-    client.sock.sendall(b"POST /reports/_search HTTP/1.1\r\nhost: x\r\nexpect: 100-continue\r\n"
-                        b"content-length: 11\r\n\r\n")
+    client.sock.sendall(
+        b"POST /reports/_search HTTP/1.1\r\nhost: x\r\nexpect: 100-continue\r\n"
+        b"content-length: 11\r\n\r\n"
+    )
     assert client.sock.recv(100) == b"HTTP/1.1 100 Continue\r\n\r\n"
     client.sock.sendall(b'{"size": 1}')
     assert client.read().status == 200
@@ -567,7 +644,11 @@
         for _ in range(50):
             assert client("POST", SEARCH).status == 200
         gc.collect()
-        left = [each for each in gc.garbage if isinstance(each, Ask) and each.name.startswith(run.service.queries.boot)]
+        left = [
+            each
+            for each in gc.garbage
+            if isinstance(each, Ask) and each.name.startswith(run.service.queries.boot)
+        ]
     finally:
         gc.set_debug(0)
         gc.garbage.clear()
@@ -589,10 +670,22 @@
 
 def test_bulk_answers_keep_their_order_over_shards(run: Running, client: Client) -> None:
     for box in run.boxes:
-        box.script = lambda call: call.reply({"items": [
-            {"index": {"_id": orjson.loads(line)["index"]["_id"], "status": 201}}
-            for line in call.body.split(b"\n")[:-1:2]], "errors": False}) if call.write else call.serve()
+        box.script = lambda call: (
+            call.reply(
+                {
+                    "items": [
+                        {"index": {"_id": orjson.loads(line)["index"]["_id"], "status": 201}}
+                        for line in call.body.split(b"\n")[:-1:2]
+                    ],
+                    "errors": False,
+                }
+            )
+            if call.write
+            else call.serve()
+        )
     lines = b"".join(orjson.dumps({"index": {"_id": f"d{each}"}}) + b"\n{}\n" for each in range(30))
     answer = client("POST", "/reports/_bulk", lines)
-    assert [item["index"]["_id"] for item in answer.body["items"]] == [f"d{each}" for each in range(30)]
+    assert [item["index"]["_id"] for item in answer.body["items"]] == [
+        f"d{each}" for each in range(30)
+    ]
     assert bulk_answer(b'{"index":{"_id":"x"}}\n')["items"]
--- a/tests/config/test_peers.py
+++ b/tests/config/test_peers.py
@@ -32,39 +32,49 @@
 
 def test_without_the_block_or_switched_off_there_is_no_membership(tmp_path: Path) -> None:
     assert load(written(tmp_path, "")).peers is None
-    assert load(written(tmp_path, BLOCK.replace("peers {", "peers {\n  enabled = false"))).peers is None
+    assert (
+        load(written(tmp_path, BLOCK.replace("peers {", "peers {\n  enabled = false"))).peers
+        is None
+    )
 
 
 def test_the_block_is_read_and_the_rest_has_defaults(tmp_path: Path) -> None:
     peers = load(written(tmp_path, BLOCK)).peers
     assert peers is not None and peers.name == "b0" and peers.listen == ("127.0.0.1", 9600)
-    assert peers.settings.seeds == (("127.0.0.1", 9600), ("127.0.0.1", 9601)) and peers.settings.configured == 2
+    assert (
+        peers.settings.seeds == (("127.0.0.1", 9600), ("127.0.0.1", 9601))
+        and peers.settings.configured == 2
+    )
     assert peers.settings.dead_after == peers.settings.pause + peers.settings.period == 5.5
     unnamed = load(written(tmp_path, BLOCK.replace('name   = "b0"', ""))).peers
     assert unnamed is not None and unnamed.name == "127.0.0.1:9200"
 
 
-@pytest.mark.parametrize(("old", "new", "key"), [
-    ('listen = "127.0.0.1:9600"', 'listen = "here"', "peers.listen"),
-    ('listen = "127.0.0.1:9600"', "", "peers.listen"),
-    ('listen = "127.0.0.1:9600"', 'listen = "0.0.0.0:9600"', "peers.advertise"),
-    ('"127.0.0.1:9601"', '"127.0.0.1:9600"', "peers.seeds"),
-    ('"127.0.0.1:9601"', '"127.0.0.1:0"', "peers.seeds"),
-    ('name   = "b0"', f'name = "{"n" * 65}"', "peers.name"),
-    ('name   = "b0"', 'period = "1ms"', "peers.period"),
-    ('name   = "b0"', 'pause = "1s"', "peers.pause"),
-    ('name   = "b0"', 'tombstone = "20s"', "peers.tombstone"),
-    ('name   = "b0"', 'most = 1', "peers.most"),
-    ('name   = "b0"', 'gossip = 3', "peers.gossip"),
-])
+@pytest.mark.parametrize(
+    ("old", "new", "key"),
+    [
+        ('listen = "127.0.0.1:9600"', 'listen = "here"', "peers.listen"),
+        ('listen = "127.0.0.1:9600"', "", "peers.listen"),
+        ('listen = "127.0.0.1:9600"', 'listen = "0.0.0.0:9600"', "peers.advertise"),
+        ('"127.0.0.1:9601"', '"127.0.0.1:9600"', "peers.seeds"),
+        ('"127.0.0.1:9601"', '"127.0.0.1:0"', "peers.seeds"),
+        ('name   = "b0"', f'name = "{"n" * 65}"', "peers.name"),
+        ('name   = "b0"', 'period = "1ms"', "peers.period"),
+        ('name   = "b0"', 'pause = "1s"', "peers.pause"),
+        ('name   = "b0"', 'tombstone = "20s"', "peers.tombstone"),
+        ('name   = "b0"', "most = 1", "peers.most"),
+        ('name   = "b0"', "gossip = 3", "peers.gossip"),
+    ],
+)
 def test_what_is_wrong_is_told_with_its_line(tmp_path: Path, old: str, new: str, key: str) -> None:
     path = written(tmp_path, BLOCK.replace(old, new))
     with pytest.raises(ConfigError) as caught:
         load(path)
     (problem,) = caught.value.problems
     lines = path.read_text().splitlines()
-    assert problem.key == key and ("peers" in lines[problem.line - 1] or key.partition(".")[2] in
-                                   lines[problem.line - 1])
+    assert problem.key == key and (
+        "peers" in lines[problem.line - 1] or key.partition(".")[2] in lines[problem.line - 1]
+    )
 
 
 def test_an_address_that_is_taken_ends_the_command_with_2(tmp_path: Path) -> None:
@@ -74,8 +84,12 @@
     path = tmp_path / "broker-0.hcl"
     own = fleet.brokers[0]
     path.write_text(path.read_text().replace(f'"127.0.0.1:{own.peer}"\n', '"192.0.2.1:9600"\n'))
-    run = subprocess.run([sys.executable, "-m", "stepknot", "serve", str(path)], capture_output=True, text=True,
-                         timeout=30)
+    run = subprocess.run(
+        [sys.executable, "-m", "stepknot", "serve", str(path)],
+        capture_output=True,
+        text=True,
+        timeout=30,
+    )
     assert run.returncode == 2 and "cannot listen" in run.stderr and "Traceback" not in run.stderr
 
 
@@ -85,19 +99,51 @@
 
 
 def test_the_table_and_the_evidence_show_what_is_known() -> None:
-    row = {"name": "b1", "state": "suspect", "address": "127.0.0.1:9601", "epoch": 7, "incarnation": 2, "self": False,
-           "since": 1.5, "why": "silent for 2.10 s (last heard here); b2 had nothing younger", "watched": True,
-           "heard": 2.1, "sign": 2.1, "sign_by": "heard here", "hears_me": None}
-    found = {"name": "b0", "fleet": "f", "live": 2, "suspect": 1, "at_least": 2, "at_most": 3, "sure": False,
-             "version": 4, "digest": "00ff", "stepped_aside": False, "isolated": True,
-             "isolated_why": "only 1 of 3 neighbours are heard", "members": [row]}
+    row = {
+        "name": "b1",
+        "state": "suspect",
+        "address": "127.0.0.1:9601",
+        "epoch": 7,
+        "incarnation": 2,
+        "self": False,
+        "since": 1.5,
+        "why": "silent for 2.10 s (last heard here); b2 had nothing younger",
+        "watched": True,
+        "heard": 2.1,
+        "sign": 2.1,
+        "sign_by": "heard here",
+        "hears_me": None,
+    }
+    found = {
+        "name": "b0",
+        "fleet": "f",
+        "live": 2,
+        "suspect": 1,
+        "at_least": 2,
+        "at_most": 3,
+        "sure": False,
+        "version": 4,
+        "digest": "00ff",
+        "stepped_aside": False,
+        "isolated": True,
+        "isolated_why": "only 1 of 3 neighbours are heard",
+        "members": [row],
+    }
     table = peers_table(found)
-    assert "between 2 and 3 brokers, not sure" in table and "ISOLATED: only 1 of 3" in table and "suspect" in table
+    assert (
+        "between 2 and 3 brokers, not sure" in table
+        and "ISOLATED: only 1 of 3" in table
+        and "suspect" in table
+    )
     story = peer_story(found, "b1")
-    assert story is not None and "b2 had nothing younger" in story and peer_story(found, "b9") is None
+    assert (
+        story is not None and "b2 had nothing younger" in story and peer_story(found, "b9") is None
+    )
 
 
 def test_the_platforms_broker_does_not_load_membership() -> None:
-    code = ("import sys, stepknot.platform.__main__, stepknot.platform.service; "
-            "sys.exit(any('peer' in name for name in sys.modules))")
+    code = (
+        "import sys, stepknot.platform.__main__, stepknot.platform.service; "
+        "sys.exit(any('peer' in name for name in sys.modules))"
+    )
     assert subprocess.run([sys.executable, "-c", code], timeout=30).returncode == 0
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,9 @@
 
 DOCUMENTS = 2_000
 
-settings.register_profile("repeatable", derandomize=True, deadline=None, database=None)  # the same verdict every run
+settings.register_profile(
+    "repeatable", derandomize=True, deadline=None, database=None
+)  # the same verdict every run
 settings.load_profile("repeatable")
 
 
--- a/tests/graphql/asking.py
+++ b/tests/graphql/asking.py
@@ -28,7 +28,11 @@
         return cls(run.connect_graph())
 
     def send(self, query: str, variables: Any = None, headers: str = "", **more: Any) -> None:
-        body = {"query": query, **({"variables": variables} if variables is not None else {}), **more}
+        body = {
+            "query": query,
+            **({"variables": variables} if variables is not None else {}),
+            **more,
+        }
         self.client.ask("POST", "/graphql", body, JSON + headers)
 
     def read(self) -> Answer:
@@ -47,16 +51,25 @@
 
 def codes(answer: Answer) -> list[tuple[tuple[str | int, ...], str]]:
     """Where each error stands, and its code."""
-    return [(tuple(each.get("path", ())), each["extensions"]["code"]) for each in answer.body.get("errors", [])]
+    return [
+        (tuple(each.get("path", ())), each["extensions"]["code"])
+        for each in answer.body.get("errors", [])
+    ]
 
 
 def coverage(answer: Answer) -> dict[tuple[str | int, ...], tuple[int, int, bool]]:
-    return {tuple(each["path"]): (each["asked"], each["answered"], each["whole"])
-            for each in answer.body["extensions"]["coverage"]}
+    return {
+        tuple(each["path"]): (each["asked"], each["answered"], each["whole"])
+        for each in answer.body["extensions"]["coverage"]
+    }
 
 
 def get_body(**params: Any) -> str:
     from urllib.parse import urlencode
 
-    return "/graphql?" + urlencode({name: value if isinstance(value, str) else orjson.dumps(value).decode()
-                                    for name, value in params.items()})
+    return "/graphql?" + urlencode(
+        {
+            name: value if isinstance(value, str) else orjson.dumps(value).decode()
+            for name, value in params.items()
+        }
+    )
--- a/tests/graphql/test_decisions.py
+++ b/tests/graphql/test_decisions.py
@@ -27,9 +27,42 @@
 
 # --- tokens: never fewer than the parser counts
 
-PIECES = st.sampled_from(["{", "}", "a", "_b1", "...", "$x", ":", "(", ")", "[", "]", "!", "=", "@d", "|", "&",
-                          "1", "-2", "3.5e-7", '"text"', '"\\"q\\u00e9"', '"""block "q" \\""" end"""',
-                          "# comment\n", " ", "\n", ",", "\ufeff", "é", '"', '"""', "\\", "0"])
+PIECES = st.sampled_from(
+    [
+        "{",
+        "}",
+        "a",
+        "_b1",
+        "...",
+        "$x",
+        ":",
+        "(",
+        ")",
+        "[",
+        "]",
+        "!",
+        "=",
+        "@d",
+        "|",
+        "&",
+        "1",
+        "-2",
+        "3.5e-7",
+        '"text"',
+        '"\\"q\\u00e9"',
+        '"""block "q" \\""" end"""',
+        "# comment\n",
+        " ",
+        "\n",
+        ",",
+        "\ufeff",
+        "é",
+        '"',
+        '"""',
+        "\\",
+        "0",
+    ]
+)
 
 
 @given(st.lists(PIECES, max_size=40).map("".join))
@@ -50,19 +83,37 @@
 
 
 SELECTIONS = st.recursive(
-    st.sampled_from(["a", "b: a", "on", "type @skip(if: true)", "x: b(c: {d: [e, {f: g}], on: $h}) @include(if: $i)",
-                     '...F @k(l: "m { n")', "query", "# o { p\n q"]),
-    lambda inner: st.builds(lambda parts, head: f"{head} {{ {' '.join(parts)} }}",
-                            st.lists(inner, min_size=1, max_size=4), st.sampled_from(
-                                ["a", "z: a", "... on T", "...", "... @skip(if: $b)", "on: on(on: on)"])),
-    max_leaves=25)
+    st.sampled_from(
+        [
+            "a",
+            "b: a",
+            "on",
+            "type @skip(if: true)",
+            "x: b(c: {d: [e, {f: g}], on: $h}) @include(if: $i)",
+            '...F @k(l: "m { n")',
+            "query",
+            "# o { p\n q",
+        ]
+    ),
+    lambda inner: st.builds(
+        lambda parts, head: f"{head} {{ {' '.join(parts)} }}",
+        st.lists(inner, min_size=1, max_size=4),
+        st.sampled_from(["a", "z: a", "... on T", "...", "... @skip(if: $b)", "on: on(on: on)"]),
+    ),
+    max_leaves=25,
+)
 
 
 @given(st.lists(st.lists(SELECTIONS, min_size=1, max_size=4), min_size=1, max_size=3))
 @settings(max_examples=300, deadline=None, derandomize=True)
 def test_a_look_at_the_text_counts_no_field_or_alias_too_many(operations: list[list[str]]) -> None:
-    text = " ".join(f"query Q{place}($b: B = {{c: d}}) @e {{ {' '.join(each)} }}"
-                    for place, each in enumerate(operations)) + " fragment F on T { a }"
+    text = (
+        " ".join(
+            f"query Q{place}($b: B = {{c: d}}) @e {{ {' '.join(each)} }}"
+            for place, each in enumerate(operations)
+        )
+        + " fragment F on T { a }"
+    )
     found, document = scan(text, 100_000), parse(text)
     exact = [Measure(document).selections(each.selection_set) for each in document.definitions]
     # Spread, F adds its one field for each spread; the look at the text leaves that out.
@@ -71,6 +122,7 @@
     if "..." not in text and len(operations) == 1:
         assert found.fields >= exact[0].fields
 
+
 # --- shape
 
 
@@ -86,13 +138,17 @@
 @given(st.integers(1, 60), st.integers(1, 3))
 @settings(max_examples=30, deadline=None, derandomize=True)
 def test_fragments_that_multiply_are_measured_once(levels: int, times: int) -> None:
-    text = "{...F0}" + "".join(f"fragment F{n} on Query{{{f'...F{n + 1} ' * times}}}" for n in range(levels))
+    text = "{...F0}" + "".join(
+        f"fragment F{n} on Query{{{f'...F{n + 1} ' * times}}}" for n in range(levels)
+    )
     text += f"fragment F{levels} on Query{{a}}"
-    assert measured(text).fields == min(times ** levels, 1_000_000)
+    assert measured(text).fields == min(times**levels, 1_000_000)
 
 
-@pytest.mark.parametrize("limit,text", [
-    ({"depth": 3}, "{a{b{c{d}}}}"), ({"fields": 3}, "{a b c d}"), ({"aliases": 1}, "{x: a y: b}")])
+@pytest.mark.parametrize(
+    "limit,text",
+    [({"depth": 3}, "{a{b{c{d}}}}"), ({"fields": 3}, "{a b c d}"), ({"aliases": 1}, "{x: a y: b}")],
+)
 def test_what_is_over_a_limit_is_told_with_both_figures(limit: dict[str, int], text: str) -> None:
     limits = replace(GraphLimits(), **limit)  # type: ignore[arg-type]
     with pytest.raises(TooMuch, match=f"at most {next(iter(limit.values()))}"):
@@ -118,7 +174,9 @@
     kept = documents(documents=5)
     for number in range(20):
         kept.prepare(f"{{a{number}: __typename}}")
-        assert len(kept.kept) <= 5 and kept.tokens == sum(each.tokens for each in kept.kept.values())
+        assert len(kept.kept) <= 5 and kept.tokens == sum(
+            each.tokens for each in kept.kept.values()
+        )
     assert kept.prepare("{a19: __typename}") and kept.hits == 1
     large = "{" + " ".join(f"b{each}: __typename" for each in range(30)) + "}"
     for number in range(20):
@@ -161,12 +219,17 @@
             latest = max(at for at, _ in spent[first:])
             begun = min(at for at, _ in spent[first:])
             # the clock steps back at times: what it earned again since cannot be more than all its steps forward
-            assert sum(parts for _, parts in spent[first:]) <= burst + rate * (latest - begun + 0.5 * 300) + 1e-6
+            assert (
+                sum(parts for _, parts in spent[first:])
+                <= burst + rate * (latest - begun + 0.5 * 300) + 1e-6
+            )
 
 
 @given(st.integers(0, 10**6))
 @settings(max_examples=100, deadline=None, derandomize=True)
-def test_with_a_clock_that_does_not_step_back_the_bound_is_exact_and_the_wait_is_enough(seed: int) -> None:
+def test_with_a_clock_that_does_not_step_back_the_bound_is_exact_and_the_wait_is_enough(
+    seed: int,
+) -> None:
     chance, now = random.Random(seed), 0.0
     rate, burst = chance.uniform(1, 50), chance.uniform(5, 100)
     waits = Waits(rate, burst, 100)
@@ -200,7 +263,9 @@
             budget.spend(0.0, f"c{number}", 5.0)
             allowed += 1
     assert len(budget.buckets) == 100 and allowed == 100 + 2
-    assert not budget.wait(60.0, "late", 5.0)  # those who spent are forgotten once they are full again
+    assert not budget.wait(
+        60.0, "late", 5.0
+    )  # those who spent are forgotten once they are full again
     budget.spend(60.0, "late", 5.0)
     assert "late" in budget.buckets
 
@@ -214,20 +279,43 @@
 
 # --- cost: never under what is sent
 
-FIELDS = ["id", "title", "game", "home{name}", "home{reportCount}", "home{bestRating reportCount}", "rating"]
+FIELDS = [
+    "id",
+    "title",
+    "game",
+    "home{name}",
+    "home{reportCount}",
+    "home{bestRating reportCount}",
+    "rating",
+]
 ROOTS = st.one_of(
-    st.builds(lambda first, fields, edges: f"reports(first: {first}){{{'edges{node' if edges else 'nodes'}"
-              f"{{{' '.join(fields)}}}{'}' if edges else ''}}}",
-              st.integers(0, 9), st.lists(st.sampled_from(FIELDS), min_size=1, max_size=4), st.booleans()),
+    st.builds(
+        lambda first, fields, edges: (
+            f"reports(first: {first}){{{'edges{node' if edges else 'nodes'}"
+            f"{{{' '.join(fields)}}}{'}' if edges else ''}}}"
+        ),
+        st.integers(0, 9),
+        st.lists(st.sampled_from(FIELDS), min_size=1, max_size=4),
+        st.booleans(),
+    ),
     st.builds(lambda first: f"reports(first: {first}){{totalCount}}", st.integers(0, 3)),
-    st.builds(lambda fields, name: f'report(id: "k{name}"){{{" ".join(fields)}}}',
-              st.lists(st.sampled_from(FIELDS), min_size=1, max_size=4), st.integers(0, 50)),
-    st.builds(lambda names, clubs, fields: "_entities(representations: ["
-              + " ".join(f'{{__typename: "Report", id: "k{name}"}}' for name in names)
-              + " ".join(f'{{__typename: "Club", name: "c{name}", founded: 5}}' for name in clubs)
-              + f']){{... on Report{{{" ".join(fields)}}} ... on Club{{reportCount reportsSinceFounded}}}}',
-              st.lists(st.integers(0, 30), max_size=20), st.lists(st.integers(0, 5), max_size=5),
-              st.lists(st.sampled_from(FIELDS), min_size=1, max_size=3)))
+    st.builds(
+        lambda fields, name: f'report(id: "k{name}"){{{" ".join(fields)}}}',
+        st.lists(st.sampled_from(FIELDS), min_size=1, max_size=4),
+        st.integers(0, 50),
+    ),
+    st.builds(
+        lambda names, clubs, fields: (
+            "_entities(representations: ["
+            + " ".join(f'{{__typename: "Report", id: "k{name}"}}' for name in names)
+            + " ".join(f'{{__typename: "Club", name: "c{name}", founded: 5}}' for name in clubs)
+            + f"]){{... on Report{{{' '.join(fields)}}} ... on Club{{reportCount reportsSinceFounded}}}}"
+        ),
+        st.lists(st.integers(0, 30), max_size=20),
+        st.lists(st.integers(0, 5), max_size=5),
+        st.lists(st.sampled_from(FIELDS), min_size=1, max_size=3),
+    ),
+)
 
 
 @pytest.fixture(scope="module")
@@ -246,7 +334,9 @@
 @given(st.lists(ROOTS, min_size=1, max_size=4))
 @example(["reports(first: 9){nodes{title home{reportCount}}}"])
 @settings(max_examples=120, deadline=None, derandomize=True)
-def test_an_operations_cost_is_never_under_the_parts_it_causes(parts_sent: Any, roots: list[str]) -> None:
+def test_an_operations_cost_is_never_under_the_parts_it_causes(
+    parts_sent: Any, roots: list[str]
+) -> None:
     query = "{" + " ".join(f"r{place}: {root}" for place, root in enumerate(roots)) + "}"
     answer, sent = parts_sent(query)
     assert answer.status == 200, answer.body
@@ -259,11 +349,16 @@
 def test_the_schema_is_the_same_text_from_run_to_run() -> None:
     first, second = load_text().graphql, load_text().graphql
     assert subgraph_sdl(first) == subgraph_sdl(second)
-    assert subgraph_sdl(first) == subgraph_sdl(replace(first, types=dict(reversed(first.types.items())),
-                                                       entities=dict(reversed(first.entities.items()))))
+    assert subgraph_sdl(first) == subgraph_sdl(
+        replace(
+            first,
+            types=dict(reversed(first.types.items())),
+            entities=dict(reversed(first.entities.items())),
+        )
+    )
 
 
-MARKED = '''
+MARKED = """
 index "marked" {
   shards = 2
   field "club" {
@@ -276,8 +371,8 @@
     type = "keyword"
   }
 }
-'''
-GRAPH = '''graphql {
+"""
+GRAPH = """graphql {
   listen = "127.0.0.1:0"
   type "Marked" {
     index     = "marked"
@@ -313,7 +408,7 @@
     }
   }
 }
-'''
+"""
 
 
 def load_marked(graph: str = GRAPH) -> Any:
@@ -324,39 +419,93 @@
 def test_every_federation_directive_comes_from_the_settings() -> None:
     front = load_marked().graphql
     sdl = subgraph_sdl(front)
-    for piece in ('@key(fields: "id") @key(fields: "club city") @shareable', '@override(from: "towns")',
-                  '@tag(name: "public") @tag(name: "a\\"b")', "tags: [String!] @inaccessible", "city: String @external",
-                  'home: Club @provides(fields: "city")', 'marked: Long @requires(fields: "city")',
-                  "https://specs.apollo.dev/federation/v2."):
+    for piece in (
+        '@key(fields: "id") @key(fields: "club city") @shareable',
+        '@override(from: "towns")',
+        '@tag(name: "public") @tag(name: "a\\"b")',
+        "tags: [String!] @inaccessible",
+        "city: String @external",
+        'home: Club @provides(fields: "city")',
+        'marked: Long @requires(fields: "city")',
+        "https://specs.apollo.dev/federation/v2.",
+    ):
         assert piece in sdl, piece
     make_schema(front)
 
 
 MISTAKES = [
-    ('index     = "marked"', 'index     = "other"', "graphql.type.Marked.index", "expected an index of this file"),
+    (
+        'index     = "marked"',
+        'index     = "other"',
+        "graphql.type.Marked.index",
+        "expected an index of this file",
+    ),
     ('"club city"]', '"club nothing"]', "graphql.type.Marked.keys", "not 'nothing'"),
-    ('from     = "city"', 'from     = "nowhere"', "graphql.type.Marked.town.from", "expected a field of index marked"),
-    ('entity   = "Club"', 'entity   = "Clubs"', "graphql.type.Marked.home.entity", "expected an entity"),
-    ("provides = \"city\"", "provides = \"name\"", "graphql.type.Marked.home.provides", "expected external fields"),
-    ('equal = { city = "city" }', 'equal = { city = "town" }', "graphql.entity.Club.marked", "external = true"),
-    ('from = "club"', 'from = "tagz"', "graphql.entity.Club.name.from", "expected a field of index marked"),
+    (
+        'from     = "city"',
+        'from     = "nowhere"',
+        "graphql.type.Marked.town.from",
+        "expected a field of index marked",
+    ),
+    (
+        'entity   = "Club"',
+        'entity   = "Clubs"',
+        "graphql.type.Marked.home.entity",
+        "expected an entity",
+    ),
+    (
+        'provides = "city"',
+        'provides = "name"',
+        "graphql.type.Marked.home.provides",
+        "expected external fields",
+    ),
+    (
+        'equal = { city = "city" }',
+        'equal = { city = "town" }',
+        "graphql.entity.Club.marked",
+        "external = true",
+    ),
+    (
+        'from = "club"',
+        'from = "tagz"',
+        "graphql.entity.Club.name.from",
+        "expected a field of index marked",
+    ),
     ('type "Marked"', 'type "Query"', "graphql.type.Query", "expected a GraphQL name that is free"),
     ('type "Marked"', 'type "2x"', "graphql.type.2x", "expected a GraphQL name that is free"),
     ('many      = "allMarked"', 'many      = "marked"', "graphql.type.Marked", "is taken"),
     ('listen = "127.0.0.1:0"', 'listen = "localhost:0"', "graphql.listen", "expected an address"),
-    ('listen = "127.0.0.1:0"', 'listen = "127.0.0.1:0"\n  dpeth = 3', "graphql.dpeth", "unknown; known here"),
-    ('shareable = true', 'shareable = "yes"', "graphql.type.Marked.shareable", "expected true or false"),
-    ('listen = "127.0.0.1:0"', 'listen = "127.0.0.1:0"\n  persisted_file = "none.json"', "graphql.persisted_file",
-     "not read"),
+    (
+        'listen = "127.0.0.1:0"',
+        'listen = "127.0.0.1:0"\n  dpeth = 3',
+        "graphql.dpeth",
+        "unknown; known here",
+    ),
+    (
+        "shareable = true",
+        'shareable = "yes"',
+        "graphql.type.Marked.shareable",
+        "expected true or false",
+    ),
+    (
+        'listen = "127.0.0.1:0"',
+        'listen = "127.0.0.1:0"\n  persisted_file = "none.json"',
+        "graphql.persisted_file",
+        "not read",
+    ),
 ]
 
 
-@pytest.mark.parametrize("good,wrong,key,expected", MISTAKES, ids=[f"{each[2]} {each[1][:20]}" for each in MISTAKES])
+@pytest.mark.parametrize(
+    "good,wrong,key,expected", MISTAKES, ids=[f"{each[2]} {each[1][:20]}" for each in MISTAKES]
+)
 def test_a_mistake_names_its_line_and_key(good: str, wrong: str, key: str, expected: str) -> None:
     assert good in GRAPH
     with pytest.raises(ConfigError) as caught:
         load_marked(GRAPH.replace(good, wrong, 1))
-    problems = [each for each in caught.value.problems if each.key == key and expected in each.expected]
+    problems = [
+        each for each in caught.value.problems if each.key == key and expected in each.expected
+    ]
     assert problems and problems[0].line > 100, caught.value.problems
 
 
--- a/tests/graphql/test_operations.py
+++ b/tests/graphql/test_operations.py
@@ -39,8 +39,13 @@
     assert [each["node"]["id"] for each in page["edges"]] == [name for _, name in wanted[:5]]
     for each in page["edges"]:
         node, doc = each["node"], DOCS[each["node"]["id"]]
-        assert node == {"id": node["id"], "title": doc["title"], "rating": doc["rating"],
-                        "played": moment(doc["played"]), "ranked": doc.get("ranked")}
+        assert node == {
+            "id": node["id"],
+            "title": doc["title"],
+            "rating": doc["rating"],
+            "played": moment(doc["played"]),
+            "ranked": doc.get("ranked"),
+        }
 
 
 def test_cursors_lead_through_all_rows_once(graph: Graph) -> None:
@@ -56,14 +61,18 @@
             break
     wanted = sorted((doc["club"], name) for name, doc in DOCS.items() if doc["game"] == "hex")
     assert seen == [name for _, name in wanted] and len(seen) > 120
-    assert len({club for club, _ in wanted}) < len(seen) * 2 / 3  # pages end among rows that the sort holds equal
+    assert (
+        len({club for club, _ in wanted}) < len(seen) * 2 / 3
+    )  # pages end among rows that the sort holds equal
 
 
 def test_a_cursor_of_another_sort_is_turned_down(graph: Graph) -> None:
     page = graph.data("{reports(first: 1, sort: [{by: moves}]){pageInfo{endCursor}}}")["reports"]
     after = page["pageInfo"]["endCursor"]
     for text in (after, "nonsense", ""):
-        answer = graph("query($a: String){reports(after: $a, sort: [{by: rating}]){nodes{id}}}", {"a": text})
+        answer = graph(
+            "query($a: String){reports(after: $a, sort: [{by: rating}]){nodes{id}}}", {"a": text}
+        )
         assert answer.status == 400 and codes(answer) == [((), "BAD_USER_INPUT")]
 
 
@@ -74,27 +83,44 @@
     ("rating: {gte: 1500, lt: 1600}", lambda doc: 1500 <= doc["rating"] < 1600),
     ("ranked: {exists: false}", lambda doc: "ranked" not in doc),
     ("ranked: {eq: true}", lambda doc: doc.get("ranked") is True),
-    ('title: {matchAll: "quiet chess"}', lambda doc: {"quiet", "chess"} <= set(doc["title"].split())),
-    ('title: {match: "quiet chess"}', lambda doc: bool({"quiet", "chess"} & set(doc["title"].split()))),
-    ('or: [{game: {eq: "go"}}, {rating: {gt: 2000}}]', lambda doc: doc["game"] == "go" or doc["rating"] > 2000),
+    (
+        'title: {matchAll: "quiet chess"}',
+        lambda doc: {"quiet", "chess"} <= set(doc["title"].split()),
+    ),
+    (
+        'title: {match: "quiet chess"}',
+        lambda doc: bool({"quiet", "chess"} & set(doc["title"].split())),
+    ),
+    (
+        'or: [{game: {eq: "go"}}, {rating: {gt: 2000}}]',
+        lambda doc: doc["game"] == "go" or doc["rating"] > 2000,
+    ),
     ("or: []", lambda doc: False),
     ('not: {game: {eq: "go"}}', lambda doc: doc["game"] != "go"),
-    ('and: [{game: {eq: "go"}}, {not: {rating: {lt: 1500}}}]',
-     lambda doc: doc["game"] == "go" and doc["rating"] >= 1500),
-    ('played: {gte: "2024-01-01", lt: "2024-02-01T00:00:00Z"}',
-     lambda doc: moment(doc["played"])[:7] == "2024-01"),
+    (
+        'and: [{game: {eq: "go"}}, {not: {rating: {lt: 1500}}}]',
+        lambda doc: doc["game"] == "go" and doc["rating"] >= 1500,
+    ),
+    (
+        'played: {gte: "2024-01-01", lt: "2024-02-01T00:00:00Z"}',
+        lambda doc: moment(doc["played"])[:7] == "2024-01",
+    ),
     ('id: {in: ["r0000003", "nope"]}', lambda doc: doc is DOCS["r0000003"]),
 ]
 
 
 @pytest.mark.parametrize("where,fits", FILTERS, ids=[each for each, _ in FILTERS])
 def test_filters(graph: Graph, where: str, fits: Any) -> None:
-    page = graph.data(f"{{reports(where: {{and: [{{{where}}}, {{{CORPUS}}}]}}){{totalCount}}}}")["reports"]
+    page = graph.data(f"{{reports(where: {{and: [{{{where}}}, {{{CORPUS}}}]}}){{totalCount}}}}")[
+        "reports"
+    ]
     assert page["totalCount"] == sum(fits(doc) for doc in DOCS.values())
 
 
 def test_search_by_relevance_carries_scores(graph: Graph) -> None:
-    edges = graph.data('{reports(search: "gambit mancala", first: 20){edges{score node{title}}}}')["reports"]["edges"]
+    edges = graph.data('{reports(search: "gambit mancala", first: 20){edges{score node{title}}}}')[
+        "reports"
+    ]["edges"]
     scores = [each["score"] for each in edges]
     assert len(scores) == 20 and scores == sorted(scores, reverse=True) and scores[0] > scores[-1]
     assert {"gambit", "mancala"} <= set(edges[0]["node"]["title"].split())
@@ -107,18 +133,26 @@
         clubs: distinct(field: club) {{ value lowerBound }}
         years: dateHistogram(field: played, calendar: YEAR) {{ key count }}
         moves: histogram(field: moves, interval: 50) {{ key count }} }}
-        second: aggregate {{ games: terms(field: club, first: 1) {{ buckets {{ key }} }} }} }} }}""")["reports"]
+        second: aggregate {{ games: terms(field: club, first: 1) {{ buckets {{ key }} }} }} }} }}""")[
+        "reports"
+    ]
     found, games = page["all"], Counter(doc["game"] for doc in DOCS.values())
     assert found["count"] == DOCUMENTS
     top = sorted(games, key=lambda name: (-games[name], name))[:3]
-    assert [(each["key"], each["count"]) for each in found["games"]["buckets"]] == [(name, games[name]) for name in top]
+    assert [(each["key"], each["count"]) for each in found["games"]["buckets"]] == [
+        (name, games[name]) for name in top
+    ]
     for each in found["games"]["buckets"]:
         ratings = [doc["rating"] for doc in DOCS.values() if doc["game"] == each["key"]]
         assert each["aggregate"] == {"best": {"max": max(ratings)}, "worst": {"min": min(ratings)}}
     assert found["games"]["otherCount"] == DOCUMENTS - sum(games[name] for name in top)
-    assert found["clubs"]["value"] == len({doc["club"] for doc in DOCS.values()}) and not found["clubs"]["lowerBound"]
+    assert (
+        found["clubs"]["value"] == len({doc["club"] for doc in DOCS.values()})
+        and not found["clubs"]["lowerBound"]
+    )
     assert {each["key"][:4]: each["count"] for each in found["years"]} == Counter(
-        moment(doc["played"])[:4] for doc in DOCS.values())
+        moment(doc["played"])[:4] for doc in DOCS.values()
+    )
     assert sum(each["count"] for each in found["moves"]) == DOCUMENTS
     clubs = Counter(doc["club"] for doc in DOCS.values())
     assert page["second"]["games"]["buckets"] == [{"key": max(clubs, key=lambda name: clubs[name])}]
@@ -126,7 +160,10 @@
 
 def test_a_page_that_wants_no_documents_is_whole_and_costs_one_step(graph: Graph) -> None:
     answer = graph("{ reports(first: 4) { nodes { id } } }")
-    assert len(answer.body["data"]["reports"]["nodes"]) == 4 and answer.body["extensions"]["cost"] == 12
+    assert (
+        len(answer.body["data"]["reports"]["nodes"]) == 4
+        and answer.body["extensions"]["cost"] == 12
+    )
     assert coverage(answer) == {("reports",): (12, 12, True)}
 
 
@@ -135,7 +172,11 @@
 
     client = Client(socket.create_connection(("127.0.0.1", fleet.brokers[0].port), timeout=10))
     other = client("POST", "/reports/_count", {"query": {"term": {"game": "shogi"}}}).body["count"]
-    assert graph.data('{reports(where: {game: {eq: "shogi"}}){totalCount}}')["reports"]["totalCount"] == other > 0
+    assert (
+        graph.data('{reports(where: {game: {eq: "shogi"}}){totalCount}}')["reports"]["totalCount"]
+        == other
+        > 0
+    )
 
 
 ENTITIES = """query($keys: [_Any!]!) { _entities(representations: $keys) { __typename
@@ -143,12 +184,16 @@
 
 
 def test_500_keys_of_which_30_are_unknown_and_some_come_twice(graph: Graph) -> None:
-    names = [corpus.name_of(number) for number in range(470)] + [f"unknown-{each}" for each in range(20)]
+    names = [corpus.name_of(number) for number in range(470)] + [
+        f"unknown-{each}" for each in range(20)
+    ]
     names += names[:10]  # 500, with ten again
     answer = graph(ENTITIES, {"keys": [{"__typename": "Report", "id": name} for name in names]})
     assert "errors" not in answer.body
     assert answer.body["data"]["_entities"] == [
-        {"__typename": "Report", "id": name, "title": DOCS[name]["title"]} if name in DOCS else None for name in names]
+        {"__typename": "Report", "id": name, "title": DOCS[name]["title"]} if name in DOCS else None
+        for name in names
+    ]
     assert answer.body["extensions"]["cost"] == 12  # a part for each shard, not one for each key
     assert coverage(answer) == {("_entities", "Report"): (12, 12, True)}
 
@@ -181,13 +226,24 @@
     members = [doc for doc in DOCS.values() if doc["club"] == "club-003"]
     since = sum(moment(doc["played"]) >= "2024-06-01" for doc in members)
     best = max(doc["rating"] for doc in members)
-    assert found[9] == {"__typename": "Club", "name": "club-003", "reportCount": len(members),
-                        "reportsSinceFounded": None, "bestRating": best}
-    assert found[10] == {"__typename": "Club", "name": "nobody", "reportCount": 0, "reportsSinceFounded": None,
-                         "bestRating": None}
+    assert found[9] == {
+        "__typename": "Club",
+        "name": "club-003",
+        "reportCount": len(members),
+        "reportsSinceFounded": None,
+        "bestRating": best,
+    }
+    assert found[10] == {
+        "__typename": "Club",
+        "name": "nobody",
+        "reportCount": 0,
+        "reportsSinceFounded": None,
+        "bestRating": None,
+    }
     assert found[11] == found[9] | {"reportsSinceFounded": since} and 0 < since < len(members)
     assert {each for each in codes(answer) if len(each[0]) == 3} == {
-        (("_entities", place, "reportsSinceFounded"), "BAD_USER_INPUT") for place in (9, 10)}
+        (("_entities", place, "reportsSinceFounded"), "BAD_USER_INPUT") for place in (9, 10)
+    }
 
 
 def test_a_reference_leads_to_counts_of_all_rows_in_one_search(graph: Graph) -> None:
@@ -199,7 +255,9 @@
         members = [doc for doc in DOCS.values() if doc["club"] == each["home"]["name"]]
         assert each["home"]["reportCount"] == each["again"]["reportCount"] == len(members)
         assert each["home"]["bestRating"] == max(doc["rating"] for doc in members)
-    assert {code for _, code in codes(answer)} == {"VALUE_NOT_GIVEN"}  # founded is not known here, and that is said
+    assert {code for _, code in codes(answer)} == {
+        "VALUE_NOT_GIVEN"
+    }  # founded is not known here, and that is said
     assert coverage(answer) == {("reports",): (12, 12, True), ("reports", "home"): (12, 12, True)}
 
 
@@ -210,22 +268,36 @@
         e: indexReport(id: "gql-2", document: {title: "three"}) { result }
         f: createReport(document: {title: "x"}) { id } }""")
     data = answer.body["data"]
-    assert data["a"] == {"id": "gql-1", "result": "created", "version": 1} and data["c"] == {"version": 2}
+    assert data["a"] == {"id": "gql-1", "result": "created", "version": 1} and data["c"] == {
+        "version": 2
+    }
     assert data["b"] is None and data["d"] is None and data["e"] == {"result": "created"}
     assert codes(answer) == [(("b",), "CONFLICT"), (("d",), "NOT_FOUND")]
     rows = graph.data('{a: report(id: "gql-1"){title rating played} c: report(id: "gql-none"){id}}')
-    assert rows == {"a": {"title": "one", "rating": 8, "played": "2025-01-01T00:00:00.000Z"}, "c": None}
+    assert rows == {
+        "a": {"title": "one", "rating": 8, "played": "2025-01-01T00:00:00.000Z"},
+        "c": None,
+    }
     made = data["f"]["id"]
-    gone = graph.data("mutation { " + " ".join(f'{place}: deleteReport(id: "{name}") {{ result }}' for place, name in (
-        ("a", "gql-1"), ("b", "gql-2"), ("c", made))) + " }")
+    gone = graph.data(
+        "mutation { "
+        + " ".join(
+            f'{place}: deleteReport(id: "{name}") {{ result }}'
+            for place, name in (("a", "gql-1"), ("b", "gql-2"), ("c", made))
+        )
+        + " }"
+    )
     assert {each["result"] for each in gone.values()} == {"deleted"}
 
 
 def test_fragments_variables_skip_and_include(graph: Graph) -> None:
-    data = graph.data("""query Q($with: Boolean!, $n: Int = 1) { reports(first: $n) { ...Page @skip(if: false) }
+    data = graph.data(
+        """query Q($with: Boolean!, $n: Int = 1) { reports(first: $n) { ...Page @skip(if: false) }
         report(id: "r0000001") @include(if: $with) { id } }
         fragment Page on ReportConnection { nodes { ...Row title @include(if: $with) } }
-        fragment Row on Report { __typename id ... on Report { game } }""", {"with": False})
+        fragment Row on Report { __typename id ... on Report { game } }""",
+        {"with": False},
+    )
     assert list(data) == ["reports"]
     assert [set(each) for each in data["reports"]["nodes"]] == [{"__typename", "id", "game"}]
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -49,7 +49,12 @@
 
 def rules(**changes: Any) -> Rules:
     values: dict[str, Any] = dict(
-        drain_grace=0.5, cold_share=0.2, cold_time=10.0, fall_multiple=3.0, fall_time=1.0, ask_within=10.0
+        drain_grace=0.5,
+        cold_share=0.2,
+        cold_time=10.0,
+        fall_multiple=3.0,
+        fall_time=1.0,
+        ask_within=10.0,
     )
     return Rules(**(values | changes))
 
@@ -81,7 +86,11 @@
 
 
 def entry(
-    server: str, cell: int = 0, state: ServerState = ServerState.LIVE, up_since: float = 0.0, kind: str = ""
+    server: str,
+    cell: int = 0,
+    state: ServerState = ServerState.LIVE,
+    up_since: float = 0.0,
+    kind: str = "",
 ) -> ServerEntry:
     return ServerEntry(server, "east", cell, state, 1.0, up_since, kind)
 
@@ -102,7 +111,9 @@
         self.kinds: dict[int, tuple[QueryClass, float]] = {}  # open queries: class, deadline
         self.query_of: dict[int, int] = {}  # part -> query
         self.number_of: dict[int, int] = {}
-        self.parts: dict[int, dict[int, float]] = defaultdict(dict)  # query -> present step's weights
+        self.parts: dict[int, dict[int, float]] = defaultdict(
+            dict
+        )  # query -> present step's weights
         self.first_whole: dict[int, bool] = {}
         self.finals: dict[int, Action] = {}
         self.attempts: dict[int, list[tuple[str, float, Outcome | None]]] = defaultdict(list)
@@ -160,7 +171,9 @@
     ) -> int:
         return self.queries((kind, shards, weights, deadline))[0]
 
-    def queries(self, *wanted: tuple[str, Iterable[int], Iterable[float] | None, float | None]) -> list[int]:
+    def queries(
+        self, *wanted: tuple[str, Iterable[int], Iterable[float] | None, float | None]
+    ) -> list[int]:
         events: list[Event] = []
         ids = []
         for kind, shards, weights, deadline in wanted:
@@ -204,7 +217,11 @@
         return AttemptEnded(part_id, attempt, server, outcome, elapsed, outcome is Outcome.SERVED)
 
     def end(
-        self, part_id: int, outcome: Outcome = Outcome.SERVED, elapsed: float = 0.1, attempt: int = 0
+        self,
+        part_id: int,
+        outcome: Outcome = Outcome.SERVED,
+        elapsed: float = 0.1,
+        attempt: int = 0,
     ) -> list[Action]:
         return self.handle(self.ended(part_id, attempt, outcome, elapsed))
 
@@ -238,9 +255,9 @@
             if isinstance(action, Refuse) and kind.effect is Effect.UNSAFE:
                 for part, query in self.query_of.items():
                     if query == action.query_id:
-                        assert all(end is not None and end.never_ran for _, _, end in self.attempts[part]), (
-                            "an unsafe query was refused though a part may have run"
-                        )
+                        assert all(
+                            end is not None and end.never_ran for _, _, end in self.attempts[part]
+                        ), "an unsafe query was refused though a part may have run"
 
     def check_final(self, query_id: int, action: Action) -> None:
         assert query_id in self.kinds, "a final answer for a query not held"
@@ -259,12 +276,21 @@
             if not self.settings.limits.second_copies:
                 assert all(end is not None for _, _, end in tries), "two attempts of a part at once"
             if kind.effect is Effect.UNSAFE:
-                assert all(end is not None and end.never_ran for _, _, end in tries), "an unsafe part again"
+                assert all(end is not None and end.never_ran for _, _, end in tries), (
+                    "an unsafe part again"
+                )
             if kind.effect is Effect.KEYED:
                 ran = [sent for _, sent, end in tries if end is None or not end.never_ran]
-                assert not ran or self.now <= ran[0] + kind.repeat_window, "a keyed part after its window"
-                latest = min((sent for _, sent, end in tries if end is None or not end.never_ran), default=math.inf)
-                assert action.not_after <= latest + kind.repeat_window, "it may reach the wire after its window"
+                assert not ran or self.now <= ran[0] + kind.repeat_window, (
+                    "a keyed part after its window"
+                )
+                latest = min(
+                    (sent for _, sent, end in tries if end is None or not end.never_ran),
+                    default=math.inf,
+                )
+                assert action.not_after <= latest + kind.repeat_window, (
+                    "it may reach the wire after its window"
+                )
             assert len(tries) < self.settings.limits.max_attempts
             window = self.settings.rules.extra_window
             if window:
@@ -273,7 +299,9 @@
                 cap = self.settings.rules.extra_floor + self.settings.rules.extra_share * taken
                 assert extra <= cap, "the attempt budget is spent"
         told = self.barred.get(action.server)
-        assert told is None or self.now <= told + self.settings.rules.drain_grace, "sent to a server not live"
+        assert told is None or self.now <= told + self.settings.rules.drain_grace, (
+            "sent to a server not live"
+        )
         tries.append((action.server, self.now, None))
         up = self.entries[action.server].up_since
         if 0 < up and self.now - up < self.settings.rules.cold_time:
--- a/tests/lab/test_slopes.py
+++ b/tests/lab/test_slopes.py
@@ -32,10 +32,20 @@
 
 def test_one_wild_repeat_moves_the_spread_of_slopes_and_not_the_line() -> None:
     """A pause of the machine is in one repeat: medians pass it by, and the spread tells it."""
-    found = fit([Point(10.0, (25.0, 25.0, 25.0)), Point(20.0, (45.0, 45.0, 45.0)), Point(40.0, (85.0, 585.0, 85.0))])
+    found = fit(
+        [
+            Point(10.0, (25.0, 25.0, 25.0)),
+            Point(20.0, (45.0, 45.0, 45.0)),
+            Point(40.0, (85.0, 585.0, 85.0)),
+        ]
+    )
     assert (found.intercept, found.slope) == (pytest.approx(5.0), pytest.approx(2.0))
     assert found.r2 == pytest.approx(1.0) and found.misfit == pytest.approx(0.0, abs=1e-9)
-    assert found.slopes.low == pytest.approx(2.0) and found.slopes.high > 15.0 and found.slopes.repeats == 3
+    assert (
+        found.slopes.low == pytest.approx(2.0)
+        and found.slopes.high > 15.0
+        and found.slopes.repeats == 3
+    )
     assert (found.low, found.high) == (10.0, 40.0)
 
 
@@ -57,7 +67,13 @@
 
 
 def test_a_series_says_how_far_the_size_lies_beyond_what_was_measured() -> None:
-    series = Series("x", "members", "B/s", 6600.0, (Point(100.0, (10.0,)), Point(200.0, (20.0,)), Point(50.0, (5.0,))))
+    series = Series(
+        "x",
+        "members",
+        "B/s",
+        6600.0,
+        (Point(100.0, (10.0,)), Point(200.0, (20.0,)), Point(50.0, (5.0,))),
+    )
     assert series.factor == pytest.approx(33.0)
     assert series.fit is not None and math.isclose(series.fit.at(series.target), 660.0)
 
--- a/tests/lab/test_subset_cost.py
+++ b/tests/lab/test_subset_cost.py
@@ -9,7 +9,9 @@
 
 pytestmark = pytest.mark.cpu_only
 
-SMALL = Fleet(brokers=6, shards=4, replicas=8, seconds=3.6)  # drained nodes are told of at 2.0 s and gone at 3.5 s
+SMALL = Fleet(
+    brokers=6, shards=4, replicas=8, seconds=3.6
+)  # drained nodes are told of at 2.0 s and gone at 3.5 s
 WHOLE, SUBSET = Variant(0), Variant(3, near=8.0)
 
 
@@ -26,20 +28,28 @@
     worlds = [World("burst", variant, 1, small) for variant in (WHOLE, SUBSET)]
     for world in worlds:
         world.run()
-    one, other = ([(part.query.arrived, part.query.kind.name, part.work) for part in world.parts.values()]
-                  for world in worlds)
+    one, other = (
+        [(part.query.arrived, part.query.kind.name, part.work) for part in world.parts.values()]
+        for world in worlds
+    )
     assert one == other and len(one) > 100
 
 
 @pytest.mark.parametrize("variant", [WHOLE, SUBSET], ids=lambda each: each.name)
 @pytest.mark.parametrize("scenario", SCENARIOS)
-def test_every_query_gets_one_final_answer_and_no_part_goes_where_it_must_not(scenario: str, variant: Variant) -> None:
+def test_every_query_gets_one_final_answer_and_no_part_goes_where_it_must_not(
+    scenario: str, variant: Variant
+) -> None:
     world = World(scenario, variant, 1, SMALL)
     world.run()
     assert {query.finals for query in world.queries.values()} == {1}
     assert world.counts.late_sends == 0
     assert not any(broker.jobs for broker in world.brokers)
-    assert world.counts.answered + world.counts.refused + world.counts.failed == world.counts.queries > 1000
+    assert (
+        world.counts.answered + world.counts.refused + world.counts.failed
+        == world.counts.queries
+        > 1000
+    )
 
 
 def test_a_subset_holds_exactly_its_size_of_each_shard_and_told_the_module_no_more() -> None:
@@ -48,7 +58,12 @@
     entries = tuple(node.entry for node in world.nodes.values())
     for broker in world.brokers:
         broker.take_list(ListReceived(ListKind.FULL, entries))
-        assert {shard: len(each) for shard, each in broker.module.cells.items()} == {0: 3, 1: 3, 2: 3, 3: 3}
+        assert {shard: len(each) for shard, each in broker.module.cells.items()} == {
+            0: 3,
+            1: 3,
+            2: 3,
+            3: 3,
+        }
 
 
 def test_a_cold_node_that_gets_more_than_it_bears_falls_and_one_that_gets_less_does_not() -> None:
@@ -70,9 +85,15 @@
     for passed in (0.9, 1.65, 6.25):  # before, gone for 0.65 s, warm for 0.25 s
         world.end = world.begin + passed - 0.8  # a run goes on for two deadlines past its end
         world.run()
-        cells[passed] = [{capsule.entry.server for each in broker.module.cells.values() for capsule in each}
-                         for broker in world.brokers]
+        cells[passed] = [
+            {capsule.entry.server for each in broker.module.cells.values() for capsule in each}
+            for broker in world.brokers
+        ]
     assert all(each & lost for each in cells[0.9]) and not any(each & lost for each in cells[1.65])
     assert cells[6.25] == cells[0.9]
-    assert all(capsule.entry.sharers == 0.0 for broker in world.brokers
-               for each in broker.module.cells.values() for capsule in each)
+    assert all(
+        capsule.entry.sharers == 0.0
+        for broker in world.brokers
+        for each in broker.module.cells.values()
+        for capsule in each
+    )
--- a/tests/lab/test_subset_model.py
+++ b/tests/lab/test_subset_model.py
@@ -36,11 +36,17 @@
     fleet = Fleet(brokers=300, holders=24.0, cells=4)
     entries = [entry for cell in range(4) for entry in fleet.entries(cell)]
     of_zone = Counter(entry.zone for entry in entries)
-    assert max(of_zone.values()) - min(of_zone.values()) <= 1 and len({entry.server for entry in entries}) == 248
+    assert (
+        max(of_zone.values()) - min(of_zone.values()) <= 1
+        and len({entry.server for entry in entries}) == 248
+    )
     found = troubles(fleet, 1)
     assert found.changes[ONE_GOES] == found.changes[ONE_BACK] < 4 * 24
     held = measure(fleet.entries(1), fleet.subsets(1))
-    assert sum(held.counts.values()) == held.total == sum(held.near) and abs(sum(held.loads.values()) - 300) < 1e-6
+    assert (
+        sum(held.counts.values()) == held.total == sum(held.near)
+        and abs(sum(held.loads.values()) - 300) < 1e-6
+    )
 
 
 @pytest.mark.parametrize("mixed", [False, True])
--- a/tests/net/test_loop.py
+++ b/tests/net/test_loop.py
@@ -191,7 +191,9 @@
     real = loop.network.listen("127.0.0.1", 0)
     hurt = Exhausted(real, code, 3)
     loop.network.listen = lambda host, port, backlog=0: hurt  # type: ignore[assignment,method-assign,misc,return-value]
-    listener = loop.listen("127.0.0.1", 0, lambda link, peer: (accepted.append(peer), loop.stop()) and None)
+    listener = loop.listen(
+        "127.0.0.1", 0, lambda link, peer: (accepted.append(peer), loop.stop()) and None
+    )
     client = socket.create_connection(listener.address)
     loop.run()
     assert len(accepted) == 1 and hurt.tries <= 6
@@ -205,7 +207,9 @@
     accepted: list[object] = []
     failed: list[int] = []
     loop = Loop(rng=random.Random(1), on_error=lambda name, error: told.append(f"{name}: {error}"))
-    listener = loop.listen("127.0.0.1", 0, lambda link, peer: (accepted.append(peer), loop.stop()) and None)
+    listener = loop.listen(
+        "127.0.0.1", 0, lambda link, peer: (accepted.append(peer), loop.stop()) and None
+    )
     troubles: list[Exception] = [OSError(errno.EINVAL, "gone"), ValueError("a mistake")]
 
     def screen(sock: socket.socket, peer: object) -> bool:
@@ -224,23 +228,28 @@
 
 
 def test_requests_cut_at_any_byte_are_parsed_the_same() -> None:
-    data = (b"POST /a?x=1 HTTP/1.1\r\nhost: h\r\ncontent-length: 5\r\n\r\nhello"
-            b"GET /b HTTP/1.1\r\nhost: h\r\n\r\n")
+    data = (
+        b"POST /a?x=1 HTTP/1.1\r\nhost: h\r\ncontent-length: 5\r\n\r\nhello"
+        b"GET /b HTTP/1.1\r\nhost: h\r\n\r\n"
+    )
     for cut in range(len(data)):
         parser = ServerParser(HttpLimits())
         for piece in (data[:cut], data[cut:]):
             if piece:
                 parser.feed(piece)
         assert [(each.method, each.path, each.body) for each in parser.requests] == [
-            ("POST", "/a", b"hello"), ("GET", "/b", b"")]
+            ("POST", "/a", b"hello"),
+            ("GET", "/b", b""),
+        ]
 
 
 def test_random_bytes_are_an_error_or_nothing_never_a_crash() -> None:
     rng = random.Random(3)
     for _ in range(2000):
         parser = ServerParser(HttpLimits(header=200, url=50, body=100))
-        data = rng.choice([b"GET / HTTP/1.1\r\n", b"POST /x HTTP/1.1\r\ncontent-length: 3\r\n", b""]) + bytes(
-            rng.choice(b"\r\n: abcGET/1.\x00\xff") for _ in range(rng.randrange(80)))
+        data = rng.choice(
+            [b"GET / HTTP/1.1\r\n", b"POST /x HTTP/1.1\r\ncontent-length: 3\r\n", b""]
+        ) + bytes(rng.choice(b"\r\n: abcGET/1.\x00\xff") for _ in range(rng.randrange(80)))
         try:
             parser.feed(data)
         except HttpError as error:
@@ -262,7 +271,10 @@
     loop.turn_hooks.append(lambda: loop.stop() if len(got) == count else None)
     loop.run()
     assert got == [number.to_bytes(2, "big") for number in range(count)] and not outbox.lost
-    assert max(after - before for before, after in zip([0, *came], came, strict=False)) <= 2 * DATAGRAM_BATCH
+    assert (
+        max(after - before for before, after in zip([0, *came], came, strict=False))
+        <= 2 * DATAGRAM_BATCH
+    )
     inbox.close()
     outbox.close()
 
--- a/tests/net/test_server.py
+++ b/tests/net/test_server.py
@@ -208,7 +208,9 @@
         sock.close()
 
 
-def test_a_request_that_is_whole_only_after_the_end_is_refused_and_not_taken_up(front: Front) -> None:
+def test_a_request_that_is_whole_only_after_the_end_is_refused_and_not_taken_up(
+    front: Front,
+) -> None:
     """It was taken, and its work went on past the time at which a broker is killed."""
     sock = front.client(ASK[:-1])
     front.until(lambda: any(each.parser.started for each in front.server.connections))
@@ -236,8 +238,12 @@
         sock.close()
 
 
-@pytest.mark.parametrize("how", ["the listener closes", "its time is over", "its descriptor is wanted"])
-def test_an_answer_that_is_being_written_is_written_whole_whatever_ends_meanwhile(front: Front, how: str) -> None:
+@pytest.mark.parametrize(
+    "how", ["the listener closes", "its time is over", "its descriptor is wanted"]
+)
+def test_an_answer_that_is_being_written_is_written_whole_whatever_ends_meanwhile(
+    front: Front, how: str
+) -> None:
     """Its request was no longer in work, so that the connection was taken for an idle one and cut off."""
     front.body = b"x" * 12_000_000  # more than the sockets hold
     sock = front.client(ASK)
--- a/tests/ownership/test_check.py
+++ b/tests/ownership/test_check.py
@@ -8,7 +8,18 @@
 
 import pytest
 
-from stepknot.lab.ownership_check import Breach, Parts, Result, Scope, World, explore, phases, replay, story, walk
+from stepknot.lab.ownership_check import (
+    Breach,
+    Parts,
+    Result,
+    Scope,
+    World,
+    explore,
+    phases,
+    replay,
+    story,
+    walk,
+)
 from stepknot.ownership import model as m
 from stepknot.ownership import owner as owner_module
 from stepknot.ownership.owner import Owner, Phase
@@ -147,24 +158,47 @@
     assert found.states >= 100_000
 
 
-@pytest.mark.parametrize("scope", [Scope(claims=1, writes=1, crashes=1, losses=1), Scope(
-    claims=1, writes=0, crashes=1, losses=0, time=3, lease=2, handovers=1)], ids=["clocks astray", "clocks in step"])
+@pytest.mark.parametrize(
+    "scope",
+    [
+        Scope(claims=1, writes=1, crashes=1, losses=1),
+        Scope(claims=1, writes=0, crashes=1, losses=0, time=3, lease=2, handovers=1),
+    ],
+    ids=["clocks astray", "clocks in step"],
+)
 def test_what_ships_breaks_nothing_in_any_order_of_the_first_actions(scope: Scope) -> None:
     found = explore(scope, most=1200)
     assert not found.breach, f"{found.breach}\n{story(found.trail)}"
     assert found.states >= 1200 and found.deepest >= 4
 
 
-@pytest.mark.parametrize(("way", "scope", "parts"), [
-    (WALK, DYING, Parts(told_first=True)), (WALK, NO_TIME, Parts(GrantsAnEpochTwice)),
-    (PHASES, NO_TIME, Parts(VotesAtOnceWithNoMemory)), (WALK, NO_TIME, Parts(AcceptsAnEarlierEpoch)),
-    (PHASES, NO_TIME, Parts(owner=CountsAtTheFirstAnswer)),
-    (WALK, TIME, Parts(GrantsDuringALease)), (WALK, TIME, Parts(VotesRightAfterItsStart)),
-    (WALK, TIME, Parts(owner=CountsFromTheGrant)), (PHASES, RENEWING, Parts(owner=CountsRenewalsFromTheAnswer)),
-    (WALK, TIME, Parts(owner=OffersBeforeItStops)),
-], ids=lambda each: each if isinstance(each, str) else "" if isinstance(each, Scope) else "ToldBeforeItIsOnDisk"
-    if each.told_first else (each.voter if each.voter is not Voter else each.owner).__name__)
-def test_a_planted_defect_is_found_and_its_trail_replays(way: str, scope: Scope, parts: Parts) -> None:
+@pytest.mark.parametrize(
+    ("way", "scope", "parts"),
+    [
+        (WALK, DYING, Parts(told_first=True)),
+        (WALK, NO_TIME, Parts(GrantsAnEpochTwice)),
+        (PHASES, NO_TIME, Parts(VotesAtOnceWithNoMemory)),
+        (WALK, NO_TIME, Parts(AcceptsAnEarlierEpoch)),
+        (PHASES, NO_TIME, Parts(owner=CountsAtTheFirstAnswer)),
+        (WALK, TIME, Parts(GrantsDuringALease)),
+        (WALK, TIME, Parts(VotesRightAfterItsStart)),
+        (WALK, TIME, Parts(owner=CountsFromTheGrant)),
+        (PHASES, RENEWING, Parts(owner=CountsRenewalsFromTheAnswer)),
+        (WALK, TIME, Parts(owner=OffersBeforeItStops)),
+    ],
+    ids=lambda each: (
+        each
+        if isinstance(each, str)
+        else ""
+        if isinstance(each, Scope)
+        else "ToldBeforeItIsOnDisk"
+        if each.told_first
+        else (each.voter if each.voter is not Voter else each.owner).__name__
+    ),
+)
+def test_a_planted_defect_is_found_and_its_trail_replays(
+    way: str, scope: Scope, parts: Parts
+) -> None:
     found = search(way, scope, parts)
     assert found.breach
     assert replay(scope, parts, found.trail) == found.breach
@@ -175,9 +209,17 @@
 def carry(world: World, *names: str) -> None:
     """All that these send each other, until nothing new comes; their disks take what they should."""
     done: set[Any] = set()
-    while due := [each for each in world.actions() if each not in done and (
-            each[0] == "deliver" and {each[1], each[2]} <= set(names) or each[0] in ("disk", "way")
-            and each[1] in names)]:
+    while due := [
+        each
+        for each in world.actions()
+        if each not in done
+        and (
+            each[0] == "deliver"
+            and {each[1], each[2]} <= set(names)
+            or each[0] in ("disk", "way")
+            and each[1] in names
+        )
+    ]:
         if due[0][0] != "disk":
             done.add(due[0])
         world.do(due[0])
@@ -210,7 +252,9 @@
 @pytest.mark.parametrize("defect", ["any reply counts", "the life stays"])
 def test_without_lives_that_answer_would_count_and_be_lost(defect: str) -> None:
     parts = Parts(KeepsItsLife) if defect == "the life stays" else Parts()
-    with patch.object(owner_module, "sound", any_reply if defect == "any reply counts" else owner_module.sound):
+    with patch.object(
+        owner_module, "sound", any_reply if defect == "any reply counts" else owner_module.sound
+    ):
         world = a_voter_loses_its_memory_between_two_answers(parts)
         assert (1, 2) in world.counted
         world.do(("claim", "y"))
@@ -260,11 +304,17 @@
     return world
 
 
-@pytest.mark.parametrize(("script", "defect", "last"), [
-    (a_record_at_a_minority_is_taken_over, Parts(owner=DoesNotWriteAnew), (3, 1)),
-    (a_voter_reads_others_on_its_way_back, Parts(ReadsNobody), (2, 1)),
-    (a_voter_reads_others_on_its_way_back, Parts(ForgetsWhatItIsTold), (2, 1))])
-def test_what_no_walk_finds_soon_is_found_by_hand(script: Any, defect: Parts, last: tuple[int, int]) -> None:
+@pytest.mark.parametrize(
+    ("script", "defect", "last"),
+    [
+        (a_record_at_a_minority_is_taken_over, Parts(owner=DoesNotWriteAnew), (3, 1)),
+        (a_voter_reads_others_on_its_way_back, Parts(ReadsNobody), (2, 1)),
+        (a_voter_reads_others_on_its_way_back, Parts(ForgetsWhatItIsTold), (2, 1)),
+    ],
+)
+def test_what_no_walk_finds_soon_is_found_by_hand(
+    script: Any, defect: Parts, last: tuple[int, int]
+) -> None:
     assert last in script(Parts()).counted
     with pytest.raises(Breach, match="does not continue"):
         script(defect)
--- a/tests/ownership/test_decisions.py
+++ b/tests/ownership/test_decisions.py
@@ -32,16 +32,25 @@
 from stepknot.peers.wire import MOST_BYTES
 
 SETTINGS = m.OwnerSettings(("A", "B", "C"))
-SAVED = m.Saved("stepknot", "A", 3, {"A": 3, "B": 1, "C": 2}, [m.JobRecord("drains", 7, "b1", 5, m.Held(6, 2, b"xyz"))])
+SAVED = m.Saved(
+    "stepknot",
+    "A",
+    3,
+    {"A": 3, "B": 1, "C": 2},
+    [m.JobRecord("drains", 7, "b1", 5, m.Held(6, 2, b"xyz"))],
+)
 
 
 # --- the disk
 
-def test_a_state_that_is_cut_or_flipped_at_any_byte_is_a_lost_memory_and_is_put_aside(tmp_path: Path) -> None:
+
+def test_a_state_that_is_cut_or_flipped_at_any_byte_is_a_lost_memory_and_is_put_aside(
+    tmp_path: Path,
+) -> None:
     store = VoterStore(tmp_path, "stepknot", "A")
     whole = pack(SAVED)
     for at in range(len(whole)):
-        for data in (whole[:at], whole[:at] + bytes([whole[at] ^ 0x20]) + whole[at + 1:]):
+        for data in (whole[:at], whole[:at] + bytes([whole[at] ^ 0x20]) + whole[at + 1 :]):
             store.path.write_bytes(data)
             saved, why = store.load()
             assert saved is None and why and not store.path.exists()
@@ -53,12 +62,16 @@
 def test_a_write_that_was_cut_short_leaves_the_state_before(tmp_path: Path) -> None:
     store = VoterStore(tmp_path, "stepknot", "A")
     store.save(pack(SAVED))
-    store.path.with_suffix(".new").write_bytes(pack(SAVED)[:20])  # what a death in the middle leaves
+    store.path.with_suffix(".new").write_bytes(
+        pack(SAVED)[:20]
+    )  # what a death in the middle leaves
     assert store.load() == (SAVED, "")
 
 
 @pytest.mark.parametrize(("fleet", "voter"), [("other", "A"), ("stepknot", "B")])
-def test_anothers_state_is_neither_used_nor_put_aside(tmp_path: Path, fleet: str, voter: str) -> None:
+def test_anothers_state_is_neither_used_nor_put_aside(
+    tmp_path: Path, fleet: str, voter: str
+) -> None:
     VoterStore(tmp_path, "stepknot", "A").save(pack(SAVED))
     store = VoterStore(tmp_path, fleet, voter)
     with pytest.raises(Unfit, match="voter A in fleet stepknot"):
@@ -68,7 +81,7 @@
 
 def test_a_newer_versions_state_is_neither_used_nor_put_aside(tmp_path: Path) -> None:
     store = VoterStore(tmp_path, "stepknot", "A")
-    body = pack(SAVED)[len(MAGIC) + 2 + 16:]
+    body = pack(SAVED)[len(MAGIC) + 2 + 16 :]
     store.path.write_bytes(MAGIC + b"2\n" + digest(b"2\n", body) + body)
     with pytest.raises(Unfit, match="another version"):
         store.load()
@@ -112,17 +125,31 @@
 
 
 def test_a_full_state_fits_what_is_read() -> None:
-    jobs = [m.JobRecord("j" * 62 + f"{number:02}", m.MOST_EPOCH - 1, "h" * 64, 2**62, m.Held(
-        m.MOST_EPOCH - 1, 2**49, bytes(m.MOST_VALUE))) for number in range(m.MOST_JOBS)]
-    saved = m.Saved("f" * 64, "A", 2**30, {"n" * 63 + f"{number}": 2**30 for number in range(7)}, jobs)
+    jobs = [
+        m.JobRecord(
+            "j" * 62 + f"{number:02}",
+            m.MOST_EPOCH - 1,
+            "h" * 64,
+            2**62,
+            m.Held(m.MOST_EPOCH - 1, 2**49, bytes(m.MOST_VALUE)),
+        )
+        for number in range(m.MOST_JOBS)
+    ]
+    saved = m.Saved(
+        "f" * 64, "A", 2**30, {"n" * 63 + f"{number}": 2**30 for number in range(7)}, jobs
+    )
     assert len(pack(saved)) < 100_000 and unpack(pack(saved)) == saved
 
 
 # --- voters and fences
 
+
 def test_a_voter_takes_no_more_jobs_than_the_bound_and_says_so() -> None:
     voter = Voter("A", SETTINGS, m.Saved("stepknot", "A", 1, {}, []))
-    answers = [voter.receive(1.0, ("x", 1), m.Claim(f"job{number}", 1)) for number in range(m.MOST_JOBS + 5)]
+    answers = [
+        voter.receive(1.0, ("x", 1), m.Claim(f"job{number}", 1))
+        for number in range(m.MOST_JOBS + 5)
+    ]
     assert [type(each).__name__ for each in answers] == ["Granted"] * m.MOST_JOBS + ["Refused"] * 5
     assert len(voter.jobs) == m.MOST_JOBS
 
@@ -136,7 +163,9 @@
     voter.receive(0.0, ("C", 1), m.TellLife(4))
     assert voter.way is not None and voter.way.life == 5
     for name in ("B", "C"):
-        voter.receive(0.1, (name, 1), m.Recalled(5, "", m.JobRecord("j", 8, "x", 1, m.Held(8, 2, b"v"))))
+        voter.receive(
+            0.1, (name, 1), m.Recalled(5, "", m.JobRecord("j", 8, "x", 1, m.Held(8, 2, b"v")))
+        )
         assert voter.way is not None  # one of the others is not enough
         voter.receive(0.1, (name, 1), m.Recalled(5, "j", None))
     assert voter.way is None and voter.life == 5 and voter.unsaved
@@ -183,19 +212,27 @@
     fence = Fence(2)
     assert not fence.hear("A", holds((3, 4), 4)) and not fence.ready
     assert fence.hear("B", holds((3, 2), 2)) and fence.newest == m.Held(3, 4, b"v")
-    assert not fence.admit(m.Held(3, 4, b"v")) and not fence.admit(m.Held(2, 9, b"v")) and fence.refused == 1
+    assert (
+        not fence.admit(m.Held(3, 4, b"v"))
+        and not fence.admit(m.Held(2, 9, b"v"))
+        and fence.refused == 1
+    )
     assert fence.admit(m.Held(4, 1, b"v"))
 
 
 def test_a_fence_waits_where_the_newest_may_or_may_not_count() -> None:
     fence = Fence(2)
     fence.hear("A", holds((3, 5), 4))
-    assert not fence.hear("B", holds((3, 4), 4)) and not fence.ready  # one before may have taken (3, 5)
+    assert (
+        not fence.hear("B", holds((3, 4), 4)) and not fence.ready
+    )  # one before may have taken (3, 5)
     assert fence.hear("C", holds((3, 5), 4)) and fence.newest == m.Held(3, 5, b"v")
 
 
 def test_an_answer_from_before_a_memory_was_lost_does_not_count() -> None:
-    assert sound({"A": holds((1, 1), life=1), "B": holds((1, 1), A=2), "C": holds((1, 1), A=1)}) == ["B", "C"]
+    assert sound(
+        {"A": holds((1, 1), life=1), "B": holds((1, 1), A=2), "C": holds((1, 1), A=1)}
+    ) == ["B", "C"]
 
 
 def test_jobs_spread_and_a_member_more_moves_only_its_own() -> None:
@@ -209,19 +246,35 @@
 
 # --- datagrams
 
+
 def node(**works: Work) -> Ownership:
     idle = Work(lambda now, value: None, lambda value, number, body: value, lambda held: None)
-    return Ownership(("A", 1), SETTINGS, Voter("A", SETTINGS, m.Saved("stepknot", "A", 1, {}, [])),
-                     works or {"j": idle}, 1, lambda name: True)
+    return Ownership(
+        ("A", 1),
+        SETTINGS,
+        Voter("A", SETTINGS, m.Saved("stepknot", "A", 1, {}, [])),
+        works or {"j": idle},
+        1,
+        lambda name: True,
+    )
 
 
 def test_what_is_absurd_is_counted_and_changes_nothing() -> None:
     found, chance = node(), random.Random(1)
     good = m.encode("stepknot", ("x", 1), m.Claim("j", 1))
-    bad = {"too long": [bytes(1201)], "malformed": [b"", b"\xc1", good[:-1], b"\x95" * 900, chance.randbytes(80),
-                                                    good.replace(b"j", b"")],
-           "another fleet": [m.encode("other", ("x", 1), m.Claim("j", 1))],
-           "another version": [good.replace(bytes([0x95, 1]), bytes([0x95, 2]), 1)]}
+    bad = {
+        "too long": [bytes(1201)],
+        "malformed": [
+            b"",
+            b"\xc1",
+            good[:-1],
+            b"\x95" * 900,
+            chance.randbytes(80),
+            good.replace(b"j", b""),
+        ],
+        "another fleet": [m.encode("other", ("x", 1), m.Claim("j", 1))],
+        "another version": [good.replace(bytes([0x95, 1]), bytes([0x95, 2]), 1)],
+    }
     for reason, datagrams in bad.items():
         for data in datagrams:
             found.receive(1.0, data)
@@ -238,17 +291,35 @@
         for _ in range(300):
             now += chance.choice([0.0, 0.05, 0.5, 3.0])
             one, two = chance.randrange(6), chance.randrange(4)
-            held = m.Held(chance.randrange(6), chance.randrange(4), chance.randbytes(chance.randrange(9)))
+            held = m.Held(
+                chance.randrange(6), chance.randrange(4), chance.randbytes(chance.randrange(9))
+            )
             job, lives = chance.choice(["j", "other"]), {chance.choice("ABC"): chance.randrange(3)}
-            message = chance.choice([
-                m.Claim(job, one, two), m.Granted(job, one, two, lives, held), m.Refused(job, one, two, 50, "no"),
-                m.Renew(job, one, two, 1), m.Renewed(job, one, two, 1, lives), m.Write(job, two, held),
-                m.Written(job, one, two, 1, lives), m.Yield(job, one), m.Offer(job, one),
-                m.Told(job, one, two, chance.choice([None, b"v"])), m.Ask(job), m.Holds(job, two, lives, held, two),
-                m.AskLife(), m.TellLife(two), m.Recall(two, ""),
-                m.Recalled(two, "", m.JobRecord(job, one, "x", 1, held)), m.Order(job, "n", b"body"),
-                m.Answered(job, "n", "no")])
-            found.receive(now, m.encode("stepknot", (chance.choice("ABCxy"), chance.randrange(3)), message))
+            message = chance.choice(
+                [
+                    m.Claim(job, one, two),
+                    m.Granted(job, one, two, lives, held),
+                    m.Refused(job, one, two, 50, "no"),
+                    m.Renew(job, one, two, 1),
+                    m.Renewed(job, one, two, 1, lives),
+                    m.Write(job, two, held),
+                    m.Written(job, one, two, 1, lives),
+                    m.Yield(job, one),
+                    m.Offer(job, one),
+                    m.Told(job, one, two, chance.choice([None, b"v"])),
+                    m.Ask(job),
+                    m.Holds(job, two, lives, held, two),
+                    m.AskLife(),
+                    m.TellLife(two),
+                    m.Recall(two, ""),
+                    m.Recalled(two, "", m.JobRecord(job, one, "x", 1, held)),
+                    m.Order(job, "n", b"body"),
+                    m.Answered(job, "n", "no"),
+                ]
+            )
+            found.receive(
+                now, m.encode("stepknot", (chance.choice("ABCxy"), chance.randrange(3)), message)
+            )
             found.tick(now, ["A", "B", "x"])
             assert all(len(data) <= MOST_BYTES for _, data, _ in found.take()[0])
 
@@ -269,21 +340,32 @@
 
 # --- drains
 
+
 def box(zone: str, cell: int, live: bool = True) -> drains.Box:
     return drains.Box(zone, cell, live)
 
 
-BOXES = {f"a{cell}": box("a", cell) for cell in range(4)} | {f"b{cell}": box("b", cell) for cell in range(4)}
+BOXES = {f"a{cell}": box("a", cell) for cell in range(4)} | {
+    f"b{cell}": box("b", cell) for cell in range(4)
+}
 
 
-def ordered(state: drains.State, number: str, boxes: drains.Boxes = BOXES, **word: Any) -> drains.State:
+def ordered(
+    state: drains.State, number: str, boxes: drains.Boxes = BOXES, **word: Any
+) -> drains.State:
     return drains.ordered(state, number, msgspec.json.encode(word), boxes)
 
 
 @settings(max_examples=200, deadline=None)
-@given(st.integers(1, 4), st.lists(st.sampled_from(["step", "step", "step", "slow", "new owner", "lose", "join"]),
-                                   max_size=60))
-def test_no_more_are_out_than_asked_each_goes_once_and_the_end_is_reached(at_most: int, events: list[str]) -> None:
+@given(
+    st.integers(1, 4),
+    st.lists(
+        st.sampled_from(["step", "step", "step", "slow", "new owner", "lose", "join"]), max_size=60
+    ),
+)
+def test_no_more_are_out_than_asked_each_goes_once_and_the_end_is_reached(
+    at_most: int, events: list[str]
+) -> None:
     boxes = dict(BOXES)
     state = ordered(drains.State(), "1", drain={"zone": "a", "at_most": at_most})
     gone: list[str] = []
@@ -316,22 +398,33 @@
     assert drains.begins(drains.State(), begun)
     assert not drains.begins(begun, ordered(begun, "1", drain={"zone": "a"}))  # said again
     stopped = ordered(begun, "2", stop=True)
-    assert not drains.begins(begun, stopped) and not drains.begins(stopped, ordered(stopped, "3", go_on=True))
+    assert not drains.begins(begun, stopped) and not drains.begins(
+        stopped, ordered(stopped, "3", go_on=True)
+    )
     assert not drains.begins(begun, ordered(begun, "2", undo=True))
 
 
-@pytest.mark.parametrize(("word", "reason"), [
-    ({"drain": {"zone": "c"}}, "no box in zone c; zones: a, b"), ({"undo": True}, "no drain runs"),
-    ({"drain": {"zone": "a", "at_most": 0}}, "not understood"),
-    ({"drain": {"zone": "a", "every": -1}}, "not understood"),
-    ({"drain": {"zone": "z" * 10_000}}, "not understood"), ({}, "no drain runs"),
-])
-def test_an_order_that_makes_no_sense_is_refused_with_the_reason(word: dict[str, Any], reason: str) -> None:
+@pytest.mark.parametrize(
+    ("word", "reason"),
+    [
+        ({"drain": {"zone": "c"}}, "no box in zone c; zones: a, b"),
+        ({"undo": True}, "no drain runs"),
+        ({"drain": {"zone": "a", "at_most": 0}}, "not understood"),
+        ({"drain": {"zone": "a", "every": -1}}, "not understood"),
+        ({"drain": {"zone": "z" * 10_000}}, "not understood"),
+        ({}, "no drain runs"),
+    ],
+)
+def test_an_order_that_makes_no_sense_is_refused_with_the_reason(
+    word: dict[str, Any], reason: str
+) -> None:
     with pytest.raises(drains.Refused, match=reason):
         ordered(drains.State(), "1", **word)
 
 
-def test_the_last_box_of_a_cell_goes_with_force_only_and_one_that_became_it_halts_the_drain() -> None:
+def test_the_last_box_of_a_cell_goes_with_force_only_and_one_that_became_it_halts_the_drain() -> (
+    None
+):
     few = {name: each for name, each in BOXES.items() if name != "b1"}
     with pytest.raises(drains.Refused, match="a1 is the last box of cell 1"):
         ordered(drains.State(), "1", few, drain={"zone": "a"})
@@ -355,7 +448,9 @@
 
 def test_the_longest_record_fits_the_ledger_or_is_refused() -> None:
     out = [f"255.255.255.{number:03}:65535" for number in range(drains.MOST_OUT)]
-    state = drains.State(drains.Drain("z" * 64, 16), "running", out[-1], out, 10**6, "w" * 120, ["n" * 32] * 8)
+    state = drains.State(
+        drains.Drain("z" * 64, 16), "running", out[-1], out, 10**6, "w" * 120, ["n" * 32] * 8
+    )
     with pytest.raises(drains.Refused, match="fewer boxes at once"):
         drains.pack(msgspec.structs.replace(state, out=["x" * 64] * 16))
     assert len(drains.pack(msgspec.structs.replace(state, orders=["n" * 16] * 8))) <= m.MOST_VALUE
@@ -367,9 +462,13 @@
 
 def test_the_ledgers_drains_lie_over_the_list_and_what_it_says_gone_stays_gone() -> None:
     heard: list[tuple[str, str]] = []
-    listed = Drained(lambda event: heard.extend((each.server, each.state.value) for each in event.entries))
+    listed = Drained(
+        lambda event: heard.extend((each.server, each.state.value) for each in event.entries)
+    )
     listed.set_out(["y"])  # before the first list
-    listed.take(ListReceived(ListKind.FULL, (entry("x"), entry("y"), entry("z", ServerState.DRAINING))))
+    listed.take(
+        ListReceived(ListKind.FULL, (entry("x"), entry("y"), entry("z", ServerState.DRAINING)))
+    )
     assert heard == [("x", "live"), ("y", "draining"), ("z", "draining")]
     heard.clear()
     listed.set_out(["x", "z"])
@@ -384,10 +483,15 @@
 
 # --- settings
 
+
 def config(tmp_path: Path, block: str, name: str = "b0") -> Any:
     peers = f'peers {{\n  name = "{name}"\n  listen = "127.0.0.1:9600"\n}}\n\n'
     path = tmp_path / "broker.hcl"
-    path.write_text(settings_text(port=1, admin=2, graph=3, peers=peers, ownership=f"ownership {{\n{block}\n}}\n\n"))
+    path.write_text(
+        settings_text(
+            port=1, admin=2, graph=3, peers=peers, ownership=f"ownership {{\n{block}\n}}\n\n"
+        )
+    )
     return load(path)
 
 
@@ -400,16 +504,21 @@
     assert config(tmp_path, block + "\n  enabled = false").owners is None
 
 
-@pytest.mark.parametrize(("block", "expected"), [
-    ('voters = ["b0", "b1"]', "ownership.voters: expected 3, 5 or 7"),
-    ('voters = ["b0", "b1", "b1"]', "ownership.voters: expected each voter once"),
-    ('voters = "b0"', "expected a list of names"),
-    ('voters = ["b0", "b1", "b2"]', "ownership.state: missing"),
-    ('voters = ["b1", "b2", "b3"]\n  lease = "1ms"', "ownership.lease: expected from"),
-    ('voters = ["b1", "b2", "b3"]\n  drift = 0.5', "ownership.drift"),
-    ('voters = ["b1", "b2", "b3"]\n  quorum = 2', "unknown; known here"),
-])
-def test_wrong_settings_are_told_with_line_and_key(tmp_path: Path, block: str, expected: str) -> None:
+@pytest.mark.parametrize(
+    ("block", "expected"),
+    [
+        ('voters = ["b0", "b1"]', "ownership.voters: expected 3, 5 or 7"),
+        ('voters = ["b0", "b1", "b1"]', "ownership.voters: expected each voter once"),
+        ('voters = "b0"', "expected a list of names"),
+        ('voters = ["b0", "b1", "b2"]', "ownership.state: missing"),
+        ('voters = ["b1", "b2", "b3"]\n  lease = "1ms"', "ownership.lease: expected from"),
+        ('voters = ["b1", "b2", "b3"]\n  drift = 0.5', "ownership.drift"),
+        ('voters = ["b1", "b2", "b3"]\n  quorum = 2', "unknown; known here"),
+    ],
+)
+def test_wrong_settings_are_told_with_line_and_key(
+    tmp_path: Path, block: str, expected: str
+) -> None:
     with pytest.raises(ConfigError) as caught:
         config(tmp_path, block)
     assert expected in str([str(each) for each in caught.value.problems])
@@ -417,6 +526,8 @@
 
 @pytest.mark.parametrize("module", ["stepknot.platform.service", "stepknot.broker.service"])
 def test_without_the_block_its_decisions_are_not_loaded(module: str) -> None:
-    code = (f"import sys, {module}; sys.exit(any(name in sys.modules for name in ('stepknot.broker.owning', "
-            "'stepknot.ownership.node', 'stepknot.broker.voterstore')))")
+    code = (
+        f"import sys, {module}; sys.exit(any(name in sys.modules for name in ('stepknot.broker.owning', "
+        "'stepknot.ownership.node', 'stepknot.broker.voterstore')))"
+    )
     assert subprocess.run([sys.executable, "-c", code], timeout=30).returncode == 0
--- a/tests/ownership/test_model.py
+++ b/tests/ownership/test_model.py
@@ -20,7 +20,9 @@
     assert random_day(5).trace == random_day(5).trace != random_day(6).trace
 
 
-def test_with_clocks_far_astray_two_may_hold_a_lease_and_still_nothing_is_lost_or_done_twice() -> None:
+def test_with_clocks_far_astray_two_may_hold_a_lease_and_still_nothing_is_lost_or_done_twice() -> (
+    None
+):
     """Rates differ by up to three times: the first line of defence breaks, the second holds alone."""
     overlaps = sum(random_day(seed, astray=0.7).overlaps for seed in range(1, 13))
     assert overlaps > 0
@@ -53,7 +55,11 @@
 
 
 def owner_of(fleet: Fleet, job: str) -> str:
-    return next(name for name, each in fleet.processes.items() if each.node.jobs[job].owner.acting(fleet.clock(each)))
+    return next(
+        name
+        for name, each in fleet.processes.items()
+        if each.node.jobs[job].owner.acting(fleet.clock(each))
+    )
 
 
 def test_a_minority_of_voters_costs_nothing() -> None:
@@ -92,7 +98,9 @@
     for name in fleet.settings.voters[:3]:
         fleet.kill(name)
     fleet.run(fleet.now + 2 * fleet.settings.lease)
-    assert not any(each.node.jobs["job0"].owner.acting(fleet.clock(each)) for each in fleet.processes.values())
+    assert not any(
+        each.node.jobs["job0"].owner.acting(fleet.clock(each)) for each in fleet.processes.values()
+    )
     fleet.start(fleet.settings.voters[0])
     fleet.run(fleet.now + 4 * fleet.settings.lease)
     assert owner_of(fleet, "job0")
@@ -104,5 +112,9 @@
         fleet.kill(name, disk=False)
         fleet.start(name)
     fleet.run(fleet.now + 20 * fleet.settings.lease)
-    assert not any(each.node.jobs["job0"].owner.acting(fleet.clock(each)) for each in fleet.processes.values())
-    assert all(fleet.processes[name].node.voter.way is not None for name in fleet.settings.voters[:3])  # type: ignore
+    assert not any(
+        each.node.jobs["job0"].owner.acting(fleet.clock(each)) for each in fleet.processes.values()
+    )
+    assert all(
+        fleet.processes[name].node.voter.way is not None for name in fleet.settings.voters[:3]
+    )  # type: ignore
--- a/tests/ownership/test_processes.py
+++ b/tests/ownership/test_processes.py
@@ -31,7 +31,9 @@
 
 
 def run(*words: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "stepknot", *words], capture_output=True, text=True, timeout=60)
+    return subprocess.run(
+        [sys.executable, "-m", "stepknot", *words], capture_output=True, text=True, timeout=60
+    )
 
 
 class Owners(Brokers):
@@ -43,7 +45,10 @@
         return row  # type: ignore[no-any-return]
 
     def story(self) -> dict[str, Any]:
-        return {name: (self.job(name), self.owner_view(name)["voter"], self.drains(name)) for name in self.running()}
+        return {
+            name: (self.job(name), self.owner_view(name)["voter"], self.drains(name))
+            for name in self.running()
+        }
 
     def owner(self) -> str:
         """The one that all running ones name; empty while they do not agree."""
@@ -69,7 +74,9 @@
             return False
         voters = {name: self.owner_view(name)["voter"] for name in self.running() if name in VOTERS}
         promised = [each["promised"]["drains"] for each in voters.values()]
-        claiming = [name for name in self.running() if name != owner and self.job(name)["phase"] != "idle"]
+        claiming = [
+            name for name in self.running() if name != owner and self.job(name)["phase"] != "idle"
+        ]
         held = self.job(owner)
         granted = set(voters) <= set(held["granted_by"]) and max(promised) <= held["epoch"]
         return granted and not claiming and self.owner() == owner
@@ -90,7 +97,11 @@
         if status in ACTIVE:
             said = self.said(by, "--undo")
             ended = said.returncode == 1 and 'no drain runs: done"' in said.stderr
-            assert said.returncode == 0 or status != "stopped" and ended, (status, said.returncode, said.stderr)
+            assert said.returncode == 0 or status != "stopped" and ended, (
+                status,
+                said.returncode,
+                said.stderr,
+            )
 
     def folder(self, name: str) -> Path:
         return self.fleet.folder / f"votes-{name}"
@@ -99,14 +110,18 @@
         """All records that anybody carried out, in the ledger's order; a process that starts again begins anew."""
         seen: dict[tuple[int, int], Row] = {}
         for name in self.names:
-            rows: list[Row] = [(row["epoch"], row["step"], tuple(row["out"]), row["status"])
-                               for row in self.logged(name, b'"drains_changed"')]
+            rows: list[Row] = [
+                (row["epoch"], row["step"], tuple(row["out"]), row["status"])
+                for row in self.logged(name, b'"drains_changed"')
+            ]
             for row in rows:
                 assert seen.setdefault(row[:2], row) == row, f"{name} took another {row[:2]}"
                 assert len(row[2]) <= at_most
             versions = [row[:2] for row in rows]
             if name not in restarted:
-                assert versions == sorted(set(versions)), f"{name} took an older record after a newer one"
+                assert versions == sorted(set(versions)), (
+                    f"{name} took an older record after a newer one"
+                )
         return [seen[version] for version in sorted(seen)]
 
 
@@ -127,7 +142,9 @@
 
 @pytest.fixture(scope="module")
 def running(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Owners]:
-    fleet = Fleet.plan(tmp_path_factory.mktemp("owners"), 5, 6, 300, cells=3, work_ms=0.5, with_peers=True)
+    fleet = Fleet.plan(
+        tmp_path_factory.mktemp("owners"), 5, 6, 300, cells=3, work_ms=0.5, with_peers=True
+    )
     links = fleet.relay(seed=5)
     for broker in fleet.brokers:
         broker.peers |= {"period": 0.25, "pause": 2.0, "tombstone": 120.0}
@@ -159,8 +176,13 @@
     running.agree()
     running.wait_owner()
     running.undo_drain("b0")
-    running.until(lambda: len({tuple(running.job(name)["version"]) for name in running.names}) == 1
-                  and running.drains("b0")["status"] not in ACTIVE and running.steady())
+    running.until(
+        lambda: (
+            len({tuple(running.job(name)["version"]) for name in running.names}) == 1
+            and running.drains("b0")["status"] not in ACTIVE
+            and running.steady()
+        )
+    )
     for broker in running.fleet.brokers:
         (running.fleet.folder / f"broker-{broker.number}.log").write_bytes(b"")
     return running
@@ -259,7 +281,9 @@
     check_steps(brokers.history(), zone_a(brokers))
 
 
-def test_with_most_voters_gone_nobody_owns_and_all_say_so_until_one_returns(brokers: Owners) -> None:
+def test_with_most_voters_gone_nobody_owns_and_all_say_so_until_one_returns(
+    brokers: Owners,
+) -> None:
     epoch = brokers.job("b4")["epoch"]
     brokers.end("b1", "b2")
     brokers.until(lambda: all(brokers.job(name)["owner"] == "" for name in brokers.running()))
@@ -282,7 +306,9 @@
 
 
 @pytest.mark.parametrize("trouble", ["empty", "flipped"])
-def test_a_voter_that_lost_its_memory_finds_its_way_back_and_votes(brokers: Owners, trouble: str) -> None:
+def test_a_voter_that_lost_its_memory_finds_its_way_back_and_votes(
+    brokers: Owners, trouble: str
+) -> None:
     life = brokers.owner_view("b1")["voter"]["life"]
     brokers.end("b1")
     if trouble == "empty":
@@ -331,10 +357,15 @@
     check_steps(brokers.history(restarted=tuple(brokers.names)), zone_a(brokers))
 
 
-def test_orders_that_cannot_be_taken_are_refused_with_the_reason_and_change_nothing(brokers: Owners) -> None:
+def test_orders_that_cannot_be_taken_are_refused_with_the_reason_and_change_nothing(
+    brokers: Owners,
+) -> None:
     before = brokers.job("b3")["version"]
     gone = [box for box in brokers.fleet.boxes if box.zone == "b" and box.cell == 0]
-    for words, reason in ((["--zone", "nowhere"], "no box in zone nowhere"), (["--undo"], "no drain runs")):
+    for words, reason in (
+        (["--zone", "nowhere"], "no box in zone nowhere"),
+        (["--undo"], "no drain runs"),
+    ):
         said = brokers.said("b3", *words)
         assert said.returncode == 1 and reason in said.stderr, said.stderr
     for box in gone:
@@ -344,11 +375,15 @@
         owner = brokers.wait_owner()
 
         def known() -> bool:  # to the owner
-            return len([row for row in brokers.logged(owner, b'"box_listed"') if row["state"] == "gone"]) >= len(gone)
+            return len(
+                [row for row in brokers.logged(owner, b'"box_listed"') if row["state"] == "gone"]
+            ) >= len(gone)
 
         brokers.until(known)
         said = brokers.said("b3", "--zone", "a")
-        assert said.returncode == 1 and "is the last box of cell 0: with force only" in said.stderr, said.stderr
+        assert (
+            said.returncode == 1 and "is the last box of cell 0: with force only" in said.stderr
+        ), said.stderr
     finally:
         for box in gone:
             box.listed = True
@@ -364,5 +399,9 @@
     assert second.returncode == 1 and "a drain of zone a is stopped" in second.stderr
     assert brokers.said("b4", "--go-on").returncode == 0
     assert brokers.said("b2", "--undo").returncode == 0
-    brokers.until(lambda: all(brokers.drains(name)["status"] == "undone" and not brokers.drains(name)["out"]
-                              for name in brokers.names))
+    brokers.until(
+        lambda: all(
+            brokers.drains(name)["status"] == "undone" and not brokers.drains(name)["out"]
+            for name in brokers.names
+        )
+    )
