--- a/bench/admission.py
+++ b/bench/admission.py
@@ -29,7 +29,7 @@
 
 from stepknot.admission.model import AdmissionSettings
 from stepknot.admission.policy import Admission
-from stepknot.lab.fleet import free_ports, settings_text
+from stepknot.simulation.fleet import free_ports, settings_text
 
 FOLDER = Path(__file__).parent
 BOXES = 4
--- a/bench/broker.py
+++ b/bench/broker.py
@@ -44,11 +44,11 @@
     SetTimer,
     TimerDue,
 )
-from stepknot.lab.fleet import free_ports, settings_text
 from stepknot.logic import Aggregator
 from stepknot.net.loop import Coroutine, Link, Loop
 from stepknot.search.merge import Target, merge, read_shard
 from stepknot.search.request import parse_search
+from stepknot.simulation.fleet import free_ports, settings_text
 
 WIDTHS = (1, 5, 12, 30)
 BOXES, CELLS = 6, 6
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -297,7 +297,7 @@
             lambda s: at(one, s.nodes),
             "ms",
             AIM,
-            "`discovery/boxlist.py`",
+            "`discovery/endpoint_file.py`",
             (("readers: one change found in the file's entries", FULL.nodes),),
         ),
         Row(
@@ -484,8 +484,8 @@
             f"- a tree of two levels, {root} inner calls of {leaves} parts: the root and one inner broker "
             f"{(root + leaves) * (part + io) / 1e3:.0f} ms one after the other; all of it "
             f"{(FULL.shards + root) / FULL.shards:.2f} times the processor time of one level",
-            f"- all 580 in time for 99 in 100 queries: one part in {1 / late:,.0f} may be late; with a copy of each late "
-            f"part on an independent node one in {1 / math.sqrt(late):.0f}",
+            f"- all 580 in time for 99 in 100 queries: one part in {1 / late:,.0f} may be late; with a copy of each "
+            f"late part on an independent node one in {1 / math.sqrt(late):.0f}",
         ]
     )
 
--- a/bench/cold.py
+++ b/bench/cold.py
@@ -13,10 +13,10 @@
 
 import click
 
-from stepknot.lab.cold import DEMANDS, Found, play
-from stepknot.lab.cold_tails import View, mean_and_deviation, over
-from stepknot.lab.subset_model import Cold, Fleet, cold_cell
 from stepknot.logic import COLD_USE
+from stepknot.simulation.cold import DEMANDS, Found, play
+from stepknot.simulation.cold_tails import View, mean_and_deviation, over
+from stepknot.simulation.subset_model import Cold, Fleet, cold_cell
 from stepknot.subsets.cold import ColdShare, cold_share
 from stepknot.subsets.model import DEFAULT_HOLDERS, DEFAULT_SIZE
 
--- a/bench/fronts.py
+++ b/bench/fronts.py
@@ -24,18 +24,18 @@
 from harness import cpu_of, memory_of, processes
 
 from stepknot.config.settings import Config, load
-from stepknot.fronts.graphql.app import Graph
-from stepknot.fronts.graphql.documents import Invalid
-from stepknot.fronts.graphql.limits import TooMuch
-from stepknot.fronts.graphql.plan import Planner
-from stepknot.fronts.graphql.run import cursor, node_of
-from stepknot.fronts.graphql.shape import shape
-from stepknot.fronts.jsonbody import read_json
-from stepknot.fronts.search import replies
-from stepknot.lab.fleet import free_ports, settings_text
+from stepknot.frontends.graphql.app import Graph
+from stepknot.frontends.graphql.documents import Invalid
+from stepknot.frontends.graphql.limits import TooMuch
+from stepknot.frontends.graphql.plan import Planner
+from stepknot.frontends.graphql.run import cursor, node_of
+from stepknot.frontends.graphql.shape import shape
+from stepknot.frontends.jsonbody import read_json
+from stepknot.frontends.search import replies
 from stepknot.net.http import HttpLimits, ServerParser
 from stepknot.search.merge import Merged, Target
 from stepknot.search.request import parse_search
+from stepknot.simulation.fleet import free_ports, settings_text
 
 FOLDER = Path(__file__).parent
 BOXES = CELLS = 6
--- a/bench/fuzz_graphql.py
+++ b/bench/fuzz_graphql.py
@@ -20,11 +20,11 @@
 from graphql.execution.values import get_variable_values
 
 from stepknot.config.settings import load
-from stepknot.fronts.graphql.app import Graph
-from stepknot.fronts.graphql.documents import Invalid
-from stepknot.fronts.graphql.limits import Measure, TooMuch, check_rows, check_text, scan
-from stepknot.fronts.graphql.plan import Planner, read_cursor
-from stepknot.fronts.jsonbody import read_json
+from stepknot.frontends.graphql.app import Graph
+from stepknot.frontends.graphql.documents import Invalid
+from stepknot.frontends.graphql.limits import Measure, TooMuch, check_rows, check_text, scan
+from stepknot.frontends.graphql.plan import Planner, read_cursor
+from stepknot.frontends.jsonbody import read_json
 from stepknot.search.errors import RequestError
 from stepknot.search.merge import Target
 
@@ -42,8 +42,8 @@
         },
     },
     {
-        "query": "query($k: [_Any!]!) {_entities(representations: $k) {__typename ...F ... on Club {name reportCount}}} "
-        "fragment F on Report {id home {bestRating}}",
+        "query": "query($k: [_Any!]!) {_entities(representations: $k) {__typename ...F ... on Club {name reportCount}}}"
+        " fragment F on Report {id home {bestRating}}",
         "variables": {
             "k": [
                 {"__typename": "Report", "id": "1"},
--- a/bench/ownership_search.py
+++ b/bench/lease_search.py
@@ -1,4 +1,4 @@
-"""Look for breaches of ownership's invariants: `python bench/ownership_search.py days --seeds 1000`.
+"""Look for breaches of ownership's invariants: `python bench/lease_search.py days --seeds 1000`.
 
 `days`: random days on the virtual clock; a failing seed is printed and replays with `--first SEED --seeds 1`. `walks`,
 `phases`: the model checker at random, without and with time. `explore`: every order of the first actions. Exit code 1
@@ -14,8 +14,8 @@
 
 import click
 
-from stepknot.lab.ownership_check import Result, Scope, explore, phases, story, walk
-from stepknot.lab.ownership_model import Breach, random_day
+from stepknot.simulation.lease_model import Breach, random_day
+from stepknot.simulation.lease_model_checker import Result, Scope, explore, phases, story, walk
 
 SCOPES = {
     "clocks astray": Scope(claims=3, writes=2, crashes=2, losses=2),
--- a/bench/ownership.py
+++ b/bench/leases.py
@@ -1,4 +1,4 @@
-"""Ownership measured in its model, against two baselines on the same faults: `python bench/ownership.py --seeds 20`.
+"""Ownership measured in its model, against two baselines on the same faults: `python bench/leases.py --seeds 20`.
 
 Simulated: 5 voters, 45 clients, links of 0.2 to 2 ms, disks that take up to 5 ms. For each fault of the owner: how long
 nobody acts, and how many acts two did at once. The baselines are textbook ones written here: a lock file with a
@@ -17,8 +17,8 @@
 import click
 from hdrh.histogram import HdrHistogram
 
-from stepknot.lab.ownership_model import Fleet, Process
-from stepknot.ownership.model import Saved
+from stepknot.leases.model import Saved
+from stepknot.simulation.lease_model import Fleet, Process
 
 ACT = 0.05  # seconds between two acts
 VOTERS, CLIENTS, LEASE = 5, 45, 2.0
--- a/bench/peers.py
+++ b/bench/membership.py
@@ -1,4 +1,4 @@
-"""Membership against baselines in the same model, paired by seed: `python bench/peers.py --seeds 4`.
+"""Membership against baselines in the same model, paired by seed: `python bench/membership.py --seeds 4`.
 
 Simulated: members on a virtual clock, links of 0.2 to 2 ms. Prints a table, and draws it with --plot FILE. False deaths
 are first-hand or heard of, of processes that ran all the time, counted once for each time that anybody at all held one
@@ -17,9 +17,9 @@
 import click
 from hdrh.histogram import HdrHistogram
 
-from stepknot.lab.peers_baselines import BASELINES
-from stepknot.lab.peers_model import Make, Model, Shipped
-from stepknot.peers.model import PeerSettings, State
+from stepknot.membership.model import PeerSettings, State
+from stepknot.simulation.membership_baselines import BASELINES
+from stepknot.simulation.membership_model import Make, Model, Shipped
 
 MAKERS: dict[str, Make] = {"stepknot": Shipped, **BASELINES}
 CALM = 15.0  # seconds for views to settle before a trouble
--- a/bench/peers_search.py
+++ b/bench/membership_search.py
@@ -1,6 +1,8 @@
-"""Thousands of random days for membership: `python bench/peers_search.py --seeds 2000`. Exit code 1 where one is wrong.
+"""Thousands of random days for membership: `python bench/membership_search.py --seeds 2000`.
 
-A seed that failed replays the same way: `python bench/peers_search.py --replay SEED` shows what each came to hold.
+Exit code 1 where one is wrong.
+
+A seed that failed replays the same way: `python bench/membership_search.py --replay SEED` shows what each came to hold.
 """
 
 from __future__ import annotations
@@ -12,7 +14,7 @@
 
 import click
 
-from stepknot.lab.peers_search import Day, play
+from stepknot.simulation.membership_search import Day, play
 
 
 @click.command()
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -23,21 +23,21 @@
 import orjson
 import scale_connections
 import scale_decide
+import scale_leases
 import scale_loop
 import scale_members
-import scale_owners
 import scale_readers
 import scale_subset
 from scale_report import BROKERS, NODES, QUERIES, REPLICAS, SHARDS, Effort, Finding, Note, number
 
-from stepknot.lab.slopes import Figure, Series, Spread
+from stepknot.simulation.slopes import Figure, Series, Spread
 
 GROUPS: dict[str, Callable[[Effort], Iterator[Finding]]] = {
     "decide": scale_decide.measure,
     "subset": scale_subset.measure,
     "readers": scale_readers.measure,
     "members": scale_members.measure,
-    "owners": scale_owners.measure,
+    "owners": scale_leases.measure,
     "connections": scale_connections.measure,
     "loop": scale_loop.measure,
 }
--- a/bench/scale_connections.py
+++ b/bench/scale_connections.py
@@ -17,9 +17,9 @@
 
 from scale_report import NODES, Effort, Finding, Gathered, Note, bytes_of, seconds_of
 
-from stepknot.boxes.side import Load
 from stepknot.interface import Outcome
 from stepknot.net.loop import Loop
+from stepknot.nodes.transport import Load
 from stepknot.platform import frames
 from stepknot.platform.nodes import IDLE_SHARE, Nodes
 
--- a/bench/scale_owners.py
+++ b/bench/scale_leases.py
@@ -1,7 +1,7 @@
 """Ownership against members, jobs and voters: the decisions as they ship, in their model, when nothing is wrong.
 
 Counted once every job has an owner. The model's own check of who acts at each moment is left out here: it looks at all
-members for each tick; `tests/ownership` and the search make it. CPU is that of ticks and datagrams.
+members for each tick; `tests/leases` and the search make it. CPU is that of ticks and datagrams.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 from scale_report import BROKERS, Effort, Finding, Gathered, Note
 
-from stepknot.lab.ownership_model import Fleet, Process
-from stepknot.ownership.model import MOST_JOBS, Saved
+from stepknot.leases.model import MOST_JOBS, Saved
+from stepknot.simulation.lease_model import Fleet, Process
 
 LEASE = 2.0  # seconds
 LEDGER = 5.0  # seconds between two records of a job
--- a/bench/scale_loop.py
+++ b/bench/scale_loop.py
@@ -14,7 +14,7 @@
 import sockets
 from scale_report import BROKERS, QUERIES, SHARDS, Cases, Effort, Finding, Note, percentile
 
-from stepknot.lab.slopes import Point, Series
+from stepknot.simulation.slopes import Point, Series
 
 PARTS = 2  # of each query of `bench/sockets.py`
 RATES = (60.0, 130.0, 260.0)  # queries a second
--- a/bench/scale_members.py
+++ b/bench/scale_members.py
@@ -15,10 +15,10 @@
 
 from scale_report import BROKERS, Effort, Finding, Gathered, Note, bytes_of
 
-from stepknot.lab.peers_model import Make, Model, Shipped
-from stepknot.lab.slopes import Series
-from stepknot.peers.members import Members
-from stepknot.peers.model import PeerSettings, Record, State
+from stepknot.membership.members import Members
+from stepknot.membership.model import PeerSettings, Record, State
+from stepknot.simulation.membership_model import Make, Model, Shipped
+from stepknot.simulation.slopes import Series
 
 ZONES = 13
 SETTLE = 60.0  # virtual seconds for views to become right at the most
--- a/bench/scale_readers.py
+++ b/bench/scale_readers.py
@@ -18,7 +18,7 @@
 import orjson
 from scale_report import NODES, SHARDS, Effort, Finding, Gathered, Note, bytes_of, seconds_of
 
-from stepknot.discovery.boxlist import changes, read_entries
+from stepknot.discovery.endpoint_file import changes, read_entries
 from stepknot.interface import ServerState
 from stepknot.platform import discovery
 from stepknot.platform.config import Unreadable
--- a/bench/scale_report.py
+++ b/bench/scale_report.py
@@ -11,7 +11,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from stepknot.lab.slopes import Figure, Point, Series, spread
+from stepknot.simulation.slopes import Figure, Point, Series, spread
 
 BROKERS, NODES, SHARDS, REPLICAS = 6_600, 36_000, 580, 62  # the size that is asked about
 QUERIES = 1_000_000  # a second, of all brokers
--- a/bench/shares.py
+++ b/bench/shares.py
@@ -17,13 +17,13 @@
     "stepknot/interface.py",
     "stepknot/benchlink.py",
     "stepknot/broker/",
-    "stepknot/boxes/",
+    "stepknot/nodes/",
     "stepknot/discovery/",
     "stepknot/search/",
     "stepknot/zones/",
     "stepknot/admission/",
-    "stepknot/peers/",
-    "stepknot/ownership/",
+    "stepknot/membership/",
+    "stepknot/leases/",
     "stepknot/subsets/",
     "stepknot/net/loop.py",
     "stepknot/platform/nodes.py",
@@ -34,7 +34,7 @@
 def kind(path: str) -> str:
     if path.startswith("tests/"):
         return "tests"
-    if path.startswith("stepknot/lab/"):
+    if path.startswith("stepknot/simulation/"):
         return "stand-ins"
     return "heart" if path.startswith(HEART) else "rest"
 
--- a/bench/subset_cost.py
+++ b/bench/subset_cost.py
@@ -1,7 +1,8 @@
 """What a bounded subset costs in decisions: `python bench/subset_cost.py [--seeds N] [--only SCENARIO]`.
 
-Simulated (`stepknot/lab/subset_cost.py`), paired by seed: every variant gets the same queries at the same times with
-the same work. Rows are means over seeds; differences are a variant less the whole list, with Student's t-interval of
+Simulated (`stepknot/simulation/subset_cost.py`), paired by seed: every variant gets the same queries at the same times
+with the same work. Rows are means over seeds; differences are a variant less the whole list, with Student's t-interval
+of
 95% over seeds, each of its own: of many intervals one in twenty is wrong. Shares and worth in percent, latencies in ms
 of all answers; `node` and `zone`: utilisation of the busiest against the mean; `cold`: the most that a cold node got
 within the fall time, as a share of what makes it fall; `us`: the module's time a part, by the wall's clock.
@@ -20,7 +21,7 @@
 
 import click
 
-from stepknot.lab.subset_cost import SCENARIOS, Fleet, Found, Variant, play
+from stepknot.simulation.subset_cost import SCENARIOS, Fleet, Found, Variant, play
 from stepknot.subsets.model import DEFAULT_NEAR
 
 # Student's t, two-sided 95%, by degrees of freedom from 1.
--- a/bench/subsets.py
+++ b/bench/subsets.py
@@ -1,7 +1,8 @@
 """Bounded subsets at the full size, against other ways: `python bench/subsets.py [--cells N] [--quick] [--json FILE]`.
 
-The shipped code chooses for each broker and cell (stepknot/lab/subset_model.py). Of the fleet's 580 cells as many are
-played as --cells says, evenly spread; 580 cells take 3 minutes on 8 free cores. Tables are Markdown.
+The shipped code chooses for each broker and cell (stepknot/simulation/subset_model.py). Of the fleet's 580 cells as
+many
+are played as --cells says, evenly spread; 580 cells take 3 minutes on 8 free cores. Tables are Markdown.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 import click
 import numpy as np
 
-from stepknot.lab.subset_baselines import NUMBERED, WAYS, Way, assigned, bounded_loads
-from stepknot.lab.subset_model import OF_ONE_CELL, Fleet, Held, Troubles, measure, troubles
+from stepknot.simulation.subset_baselines import NUMBERED, WAYS, Way, assigned, bounded_loads
+from stepknot.simulation.subset_model import OF_ONE_CELL, Fleet, Held, Troubles, measure, troubles
 
 Table = list[dict[str, Any]]
 FULL = Fleet()
--- a/bench/zone_loss.py
+++ b/bench/zone_loss.py
@@ -22,11 +22,11 @@
 import orjson
 
 matplotlib.use("Agg")
-import matplotlib.pyplot as plt  # noqa: E402
+import matplotlib.pyplot as plt
 
-from stepknot.lab.audit import Records, audit  # noqa: E402
-from stepknot.lab.day import run_day  # noqa: E402
-from stepknot.lab.script import Script, Step  # noqa: E402
+from stepknot.simulation.audit import Records, audit
+from stepknot.simulation.day import run_day
+from stepknot.simulation.script import Script, Step
 
 LOSS, GONE, SECONDS, COLD = 8.0, 5.0, 30.0, 6.0
 VARIANTS = ("zones", "none", "slow-start", "panic", "random")
--- a/stepknot/benchlink.py
+++ b/stepknot/benchlink.py
@@ -262,7 +262,7 @@
             return
         try:
             outbox += [encode(instance, action) for action in aggregator.handle(now, events)]
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - reported to the caller, as the wire wants it
             text = f"{type(error).__name__}: {error}"
             outbox.append({"INTERNAL_ERROR": {"i": instance, "reason-text": text}})
             print(f"benchlink: {instance}: {text}", file=sys.stderr)
--- a/stepknot/broker/core.py
+++ b/stepknot/broker/core.py
@@ -17,10 +17,10 @@
 from typing import Any
 
 from stepknot import interface as api
-from stepknot.boxes.codec import PartReply
-from stepknot.boxes.side import Boxes, Load, OutgoingAttempt
 from stepknot.logic import Aggregator
 from stepknot.net.loop import Loop, Signal
+from stepknot.nodes.codec import PartReply
+from stepknot.nodes.transport import Boxes, Load, OutgoingAttempt
 from stepknot.zones.policy import Zones
 from stepknot.zones.spill import Rate
 
--- a/stepknot/broker/indices.py
+++ b/stepknot/broker/indices.py
@@ -15,12 +15,12 @@
 import mmh3
 import orjson
 
-from stepknot.boxes.pool import Exchange, Pool
 from stepknot.broker.core import Core
 from stepknot.config.settings import FIELD_TYPES, Config, Index, default_routing_shards
 from stepknot.interface import Outcome, ServerState
 from stepknot.net.http import ClientParser, HttpError
 from stepknot.net.loop import Park, Signal
+from stepknot.nodes.connection_pool import Exchange, Pool
 from stepknot.search.errors import ParsingError, RequestError, unsupported
 
 LEASE = (
--- a/stepknot/broker/owning.py
+++ b/stepknot/broker/lease_driver.py
@@ -16,18 +16,18 @@
 from prometheus_client.metrics_core import Metric
 
 from stepknot.broker.core import Core
-from stepknot.broker.peering import Peering
-from stepknot.broker.voterstore import VoterStore, Writer, pack
-from stepknot.config.ownership import Owners
-from stepknot.discovery.drained import Drained
+from stepknot.broker.membership_driver import Peering
+from stepknot.broker.voter_store import VoterStore, Writer, pack
+from stepknot.config.leases import Owners
+from stepknot.discovery.drained_endpoints import Drained
 from stepknot.interface import ServerState
+from stepknot.leases import drains
+from stepknot.leases.model import MARK, Held
+from stepknot.leases.node import JobView, Ownership, Work
+from stepknot.leases.owner import Phase
+from stepknot.leases.voter import Voter
+from stepknot.membership.model import State
 from stepknot.net.loop import Loop
-from stepknot.ownership import drains
-from stepknot.ownership.model import MARK, Held
-from stepknot.ownership.node import JobView, Ownership, Work
-from stepknot.ownership.owner import Phase
-from stepknot.ownership.voter import Voter
-from stepknot.peers.model import State
 
 TICK = 0.05  # of a lease
 WINDOW = 10.0  # seconds over which failing queries are counted
--- a/stepknot/broker/peering.py
+++ b/stepknot/broker/membership_driver.py
@@ -13,10 +13,10 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 from prometheus_client.metrics_core import Metric
 
-from stepknot.config.peers import Peers
+from stepknot.config.membership import Peers
+from stepknot.membership.members import Members
+from stepknot.membership.model import MOST_EPOCH, Counts, Record, State
 from stepknot.net.loop import Coroutine, Loop
-from stepknot.peers.members import Members
-from stepknot.peers.model import MOST_EPOCH, Counts, Record, State
 
 FAREWELL = 4  # ticks for which a leave is told
 
--- a/stepknot/broker/queries.py
+++ b/stepknot/broker/queries.py
@@ -14,12 +14,12 @@
 
 import orjson
 
-from stepknot.boxes.codec import SearchPart, WritePart
-from stepknot.boxes.pool import Pool
 from stepknot.broker.core import Ask, Core, QueryPart, Result, Status
 from stepknot.broker.indices import Indices
 from stepknot.config.settings import Config, Index
 from stepknot.net.loop import Loop, Park, Task
+from stepknot.nodes.codec import SearchPart, WritePart
+from stepknot.nodes.connection_pool import Pool
 from stepknot.search.aggs import MergeError
 from stepknot.search.errors import RequestError
 from stepknot.search.merge import Merged, ShardHits, Target, merge, read_shard
--- a/stepknot/broker/service.py
+++ b/stepknot/broker/service.py
@@ -20,20 +20,20 @@
 from stepknot.admission.descriptors import Budgets, share_out
 from stepknot.admission.lists import Damaged, Lists
 from stepknot.admission.model import Rank
-from stepknot.boxes.codec import RestCodec
-from stepknot.boxes.pool import Pool
-from stepknot.boxes.rest import RestBoxes
+from stepknot.broker.admission_gate import Gate
 from stepknot.broker.core import Core
-from stepknot.broker.gate import Gate
-from stepknot.broker.life import Life
-from stepknot.broker.peering import Peering
+from stepknot.broker.membership_driver import Peering
+from stepknot.broker.process import Life
 from stepknot.broker.queries import Queries
 from stepknot.config.settings import Config
-from stepknot.discovery.boxlist import FileSource
-from stepknot.discovery.drained import Drained
+from stepknot.discovery.drained_endpoints import Drained
+from stepknot.discovery.endpoint_file import FileSource
 from stepknot.net.http import HttpLimits, Request, Response
 from stepknot.net.loop import LAG_BUCKETS, Coroutine, Loop
 from stepknot.net.server import Connection, Handler, Server
+from stepknot.nodes.codec import RestCodec
+from stepknot.nodes.connection_pool import Pool
+from stepknot.nodes.rest_transport import RestBoxes
 from stepknot.zones.model import State, ZoneView
 from stepknot.zones.policy import Zones
 
@@ -60,7 +60,7 @@
 )
 Log = Callable[..., None]
 if TYPE_CHECKING:
-    from stepknot.broker.subsetting import Subsetting
+    from stepknot.broker.subset_driver import Subsetting
 
 
 def host_port(host: str, port: int) -> str:
@@ -181,7 +181,7 @@
         self.listed = Drained(self.core.take_list)
         self.subsetting = None
         if config.subset is not None:
-            from stepknot.broker.subsetting import (
+            from stepknot.broker.subset_driver import (
                 Subsetting,
             )  # not needed, and not loaded, without the block
 
@@ -208,7 +208,7 @@
         )
         self.owning = None
         if config.owners is not None and self.peering is not None:
-            from stepknot.broker.owning import (
+            from stepknot.broker.lease_driver import (
                 Owning,
             )  # not needed, and not loaded, without the block
 
--- a/stepknot/broker/subsetting.py
+++ b/stepknot/broker/subset_driver.py
@@ -17,7 +17,7 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 from prometheus_client.metrics_core import Metric
 
-from stepknot.discovery.drained import Drained
+from stepknot.discovery.drained_endpoints import Drained
 from stepknot.interface import ListKind, ListReceived, ServerEntry, ServerState, Settings
 from stepknot.net.loop import NEXT_TURN, Coroutine, Loop, Timer
 from stepknot.subsets.explain import explain
--- a/stepknot/broker/voterstore.py
+++ b/stepknot/broker/voter_store.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from stepknot.ownership.model import Saved
+from stepknot.leases.model import Saved
 
 MAGIC, VERSION = b"stepknot voter ", b"1\n"
 DIGEST = 16
--- a/stepknot/cli/main.py
+++ b/stepknot/cli/main.py
@@ -174,7 +174,7 @@
 
     import orjson
 
-    from stepknot.fronts.graphql.sdl import subgraph_sdl
+    from stepknot.frontends.graphql.sdl import subgraph_sdl
 
     settings = read_config(config)
     if settings.graphql is None:
@@ -235,7 +235,7 @@
     Faults: POST {"kind": "hang", "seconds": 5} to the control socket; kinds: crash, hang, fail_fast (share),
     slow (factor), pause, reset, cut, garbage, refuse, lost, huge, clear; "agent" limits one to a broker's port.
     """
-    from stepknot.lab.box import BoxPlan, run_box
+    from stepknot.simulation.stand_in_node import BoxPlan, run_box
 
     plan = BoxPlan(
         listen[0],
@@ -284,7 +284,7 @@
              curl 'localhost:9200/reports/_search?size=3' -H 'content-type: application/json' \\
                   -d '{"query": {"match": {"title": "gambit"}}}'
     """
-    from stepknot.lab.fleet import run_demo
+    from stepknot.simulation.fleet import run_demo
 
     sys.exit(run_demo(port, seconds, documents, brokers, boxes, progress(), click.echo))
 
@@ -456,7 +456,7 @@
     \b
     Example: stepknot found broker.hcl
     """
-    from stepknot.broker.voterstore import VoterStore
+    from stepknot.broker.voter_store import VoterStore
 
     settings = read_config(config)
     if settings.owners is None or settings.owners.state is None or settings.peers is None:
@@ -666,8 +666,8 @@
     \b
     Example: stepknot day --seconds 20 --rate 60 --out /tmp/day
     """
-    from stepknot.lab import script as scripts
-    from stepknot.lab.day import run_day
+    from stepknot.simulation import script as scripts
+    from stepknot.simulation.day import run_day
 
     say = progress()
     try:
@@ -816,9 +816,9 @@
 
     import msgspec
 
-    from stepknot.lab.scale_plan import Machine, ScalePlan, refusal
-    from stepknot.lab.scale_report import table
-    from stepknot.lab.scale_run import run_scale
+    from stepknot.simulation.scale_plan import Machine, ScalePlan, refusal
+    from stepknot.simulation.scale_report import table
+    from stepknot.simulation.scale_run import run_scale
 
     plan = ScalePlan(
         out,
@@ -853,8 +853,8 @@
 def show_audit(folder: Path, as_json: bool) -> None:
     import orjson
 
-    from stepknot.lab.audit import Records
-    from stepknot.lab.audit import audit as decide
+    from stepknot.simulation.audit import Records
+    from stepknot.simulation.audit import audit as decide
 
     try:
         reports = decide(Records.load(folder))
--- a/stepknot/cli/serve.py
+++ b/stepknot/cli/serve.py
@@ -8,21 +8,22 @@
 import orjson
 
 from stepknot.broker.service import Service
-from stepknot.broker.voterstore import Unfit
+from stepknot.broker.voter_store import Unfit
 from stepknot.config.settings import Config
-from stepknot.fronts.search.app import SearchFront
+from stepknot.frontends.search.app import SearchFront
 
 Log = Callable[..., None]
 
 
 def make(config: Config, log: Log, load_again: Callable[[], Config] | None = None) -> Service:
-    make_graph = None
+    make_graph: Callable[[Service], GraphFront] | None = None
     if config.graphql is not None:
-        from stepknot.fronts.graphql.app import (
-            GraphFront,
-        )  # not needed, and not loaded, where it is not served
+        # Imported here: where no graph is served, the module is not loaded.
+        from stepknot.frontends.graphql.app import GraphFront
+
+        def make_graph(service: Service) -> GraphFront:
+            return GraphFront(service.config, service.core, service.queries)
 
-        make_graph = lambda service: GraphFront(service.config, service.core, service.queries)  # noqa: E731
     return Service(
         config,
         log,
--- a/stepknot/config/ownership.py
+++ b/stepknot/config/leases.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from stepknot.config.hcl import Block
-from stepknot.config.peers import Peers, name
+from stepknot.config.membership import Peers, name
 from stepknot.config.readers import Bad, Checker, Key, duration, flag, number, text
-from stepknot.ownership.model import OwnerSettings
+from stepknot.leases.model import OwnerSettings
 
 
 def voters(value: Any) -> tuple[str, ...]:
--- a/stepknot/config/peers.py
+++ b/stepknot/config/membership.py
@@ -7,7 +7,7 @@
 
 from stepknot.config.hcl import Block
 from stepknot.config.readers import Bad, Checker, Key, address, count, duration, flag, size, text
-from stepknot.peers.model import PeerSettings
+from stepknot.membership.model import PeerSettings
 
 DEFAULT = PeerSettings()
 
--- a/stepknot/config/settings.py
+++ b/stepknot/config/settings.py
@@ -16,8 +16,8 @@
 from stepknot.config.admission import read_admission
 from stepknot.config.graphql import GraphReader, GraphSettings
 from stepknot.config.hcl import Block, ConfigError, Value, parse
-from stepknot.config.ownership import Owners, read_ownership
-from stepknot.config.peers import Peers, read_peers
+from stepknot.config.leases import Owners, read_ownership
+from stepknot.config.membership import Peers, read_peers
 from stepknot.config.readers import (
     Checker,
     Key,
@@ -32,7 +32,7 @@
     text,
     tiers,
 )
-from stepknot.config.subset import read_subset, surroundings
+from stepknot.config.subsets import read_subset, surroundings
 from stepknot.net.http import HttpLimits
 from stepknot.zones.model import Bounds, ZoneSettings
 
--- a/stepknot/config/subset.py
+++ b/stepknot/config/subsets.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from stepknot.config.hcl import Block
-from stepknot.config.peers import name
+from stepknot.config.membership import name
 from stepknot.config.readers import Checker, Key, count, flag, number
 
 if TYPE_CHECKING:
--- a/stepknot/fronts/graphql/app.py
+++ b/stepknot/frontends/graphql/app.py
@@ -19,13 +19,13 @@
 from stepknot.broker.queries import MOST_NAME, NAME_HEADER, Client, Queries
 from stepknot.config.graphql import GraphSettings
 from stepknot.config.settings import Config
-from stepknot.fronts.graphql.budget import Budgets
-from stepknot.fronts.graphql.documents import MOST_ERRORS, Documents, Invalid, Prepared
-from stepknot.fronts.graphql.limits import TooMuch
-from stepknot.fronts.graphql.plan import Plan, Planner
-from stepknot.fronts.graphql.run import REFUSED, ClientGone, Runner, Said
-from stepknot.fronts.graphql.shape import make_schema, shape
-from stepknot.fronts.jsonbody import read_json
+from stepknot.frontends.graphql.budget import Budgets
+from stepknot.frontends.graphql.documents import MOST_ERRORS, Documents, Invalid, Prepared
+from stepknot.frontends.graphql.limits import TooMuch
+from stepknot.frontends.graphql.plan import Plan, Planner
+from stepknot.frontends.graphql.run import REFUSED, ClientGone, Runner, Said
+from stepknot.frontends.graphql.shape import make_schema, shape
+from stepknot.frontends.jsonbody import read_json
 from stepknot.net.http import HttpError, Request, Response, retry_headers
 from stepknot.net.loop import Park
 from stepknot.net.server import Connection
--- a/stepknot/fronts/graphql/documents.py
+++ b/stepknot/frontends/graphql/documents.py
@@ -26,7 +26,7 @@
 from graphql.execution.collect_fields import CollectedFields
 
 from stepknot.config.graphql import GraphSettings
-from stepknot.fronts.graphql.limits import LONGEST, TooMuch, check_rows, check_shape, check_text
+from stepknot.frontends.graphql.limits import LONGEST, TooMuch, check_rows, check_shape, check_text
 
 # A directive, however it is spaced.
 CONDITION = re.compile(r"@[\s,\ufeff]*(?:#[^\n\r]*[\s,\ufeff]*)*(?:skip|include)\b")
--- a/stepknot/fronts/graphql/plan.py
+++ b/stepknot/frontends/graphql/plan.py
@@ -41,8 +41,8 @@
     Reference,
 )
 from stepknot.config.settings import Index
-from stepknot.fronts.graphql.limits import TooMuch
-from stepknot.fronts.graphql.sdl import key_value
+from stepknot.frontends.graphql.limits import TooMuch
+from stepknot.frontends.graphql.sdl import key_value
 from stepknot.search.entities import Bound, Group, Key, Measured, documents_search, groups_search
 from stepknot.search.errors import RequestError
 from stepknot.search.merge import Target
--- a/stepknot/fronts/graphql/run.py
+++ b/stepknot/frontends/graphql/run.py
@@ -15,7 +15,7 @@
 from stepknot.broker.core import Result, Status
 from stepknot.broker.queries import Client, Coverage, HangUp, Outcome, Party, Queries
 from stepknot.config.graphql import ID, GraphField, GraphType
-from stepknot.fronts.graphql.plan import (
+from stepknot.frontends.graphql.plan import (
     AggregatePlan,
     Batch,
     ById,
--- a/stepknot/fronts/graphql/shape.py
+++ b/stepknot/frontends/graphql/shape.py
@@ -13,8 +13,8 @@
 )
 
 from stepknot.config.graphql import GraphSettings
-from stepknot.fronts.graphql.documents import Prepared
-from stepknot.fronts.graphql.sdl import executable, subgraph_sdl
+from stepknot.frontends.graphql.documents import Prepared
+from stepknot.frontends.graphql.sdl import executable, subgraph_sdl
 
 Values = dict[str, Any]
 
--- a/stepknot/fronts/search/admin.py
+++ b/stepknot/frontends/search/admin.py
@@ -9,7 +9,7 @@
 from stepknot.broker.core import Core
 from stepknot.broker.queries import Queries
 from stepknot.config.settings import Config
-from stepknot.fronts.search.replies import reply
+from stepknot.frontends.search.replies import reply
 from stepknot.interface import ServerEntry, ServerState
 from stepknot.net.http import Request, Response
 from stepknot.net.loop import Park
@@ -251,7 +251,7 @@
     if "s" in request.query:
         for key in reversed(request.query["s"].split(",")):
             name, _, order = key.partition(":")
-            rows = sorted(rows, key=lambda row: row.get(name, ""), reverse=order == "desc")  # noqa: B023
+            rows = sorted(rows, key=lambda row: row.get(name, ""), reverse=order == "desc")
     if request.query.get("format") == "json":
         return reply(200, [{key: row[key] for key in columns} for row in rows])
     shown = [[row[key] for key in columns] for row in rows]
--- a/stepknot/fronts/search/app.py
+++ b/stepknot/frontends/search/app.py
@@ -14,10 +14,10 @@
 from stepknot.broker.core import Core, Status
 from stepknot.broker.queries import MOST_NAME, NAME_HEADER, Client, Outcome, Party, Queries
 from stepknot.config.settings import FIELD_TYPES, Config, Index
-from stepknot.fronts.jsonbody import read_json, read_lines
-from stepknot.fronts.search import replies
-from stepknot.fronts.search.admin import Admin
-from stepknot.fronts.search.replies import reply
+from stepknot.frontends.jsonbody import read_json, read_lines
+from stepknot.frontends.search import replies
+from stepknot.frontends.search.admin import Admin
+from stepknot.frontends.search.replies import reply
 from stepknot.net.http import HttpError, Request, Response, retry_headers
 from stepknot.net.loop import Park
 from stepknot.net.server import Connection
--- a/stepknot/ownership/drains.py
+++ b/stepknot/leases/drains.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from stepknot.ownership.model import MOST_VALUE
+from stepknot.leases.model import MOST_VALUE
 
 JOB = "drains"
 MOST_OUT = 16
--- a/stepknot/ownership/fence.py
+++ b/stepknot/leases/fence.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from stepknot.ownership.model import Held, Holds
-from stepknot.ownership.quorum import sound
+from stepknot.leases.model import Held, Holds
+from stepknot.leases.quorum import sound
 
 
 @dataclass(slots=True)
--- a/stepknot/ownership/model.py
+++ b/stepknot/leases/model.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from stepknot.peers.wire import opened
+from stepknot.membership.wire import opened
 
 VERSION = 1
 MOST_VALUE = 900  # bytes of a job's record
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerSettings:
-    """`docs/ownership.md` derives the defaults."""
+    """`docs/leases.md` derives the defaults."""
 
     voters: tuple[str, ...]
     fleet: str = "stepknot"
--- a/stepknot/ownership/node.py
+++ b/stepknot/leases/node.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from stepknot.ownership import model as m
-from stepknot.ownership.fence import Fence
-from stepknot.ownership.owner import Owner, Phase
-from stepknot.ownership.place import order
-from stepknot.ownership.voter import Voter
-from stepknot.peers.wire import Unusable
+from stepknot.leases import model as m
+from stepknot.leases.fence import Fence
+from stepknot.leases.owner import Owner, Phase
+from stepknot.leases.place import order
+from stepknot.leases.voter import Voter
+from stepknot.membership.wire import Unusable
 
 TURN = 0.5  # of a lease, that each next in line waits longer before it claims
 ASK_EVERY = 2.0  # leases between two questions to the voters, once a majority answered
--- a/stepknot/ownership/owner.py
+++ b/stepknot/leases/owner.py
@@ -12,8 +12,8 @@
 from enum import Enum
 from typing import Any
 
-from stepknot.ownership import model as m
-from stepknot.ownership.quorum import sound
+from stepknot.leases import model as m
+from stepknot.leases.quorum import sound
 
 CLAIM_TIME = 0.5  # of a lease, for a majority's answers to a claim
 REPEAT = 0.05  # of a lease, between two sendings of what was not answered
--- a/stepknot/ownership/voter.py
+++ b/stepknot/leases/voter.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from stepknot.ownership import model as m
+from stepknot.leases import model as m
 
 Process = m.Process
 
--- a/stepknot/peers/losses.py
+++ b/stepknot/membership/losses.py
@@ -8,9 +8,9 @@
 import math
 from collections.abc import Iterable
 
-from stepknot.peers.model import PeerSettings, State
-from stepknot.peers.table import Table
-from stepknot.peers.watched import Watched
+from stepknot.membership.model import PeerSettings, State
+from stepknot.membership.table import Table
+from stepknot.membership.watched import Watched
 
 MANY = 0.25  # of the members
 LATELY = 4.0  # times as long as a death takes: members that died since then count as lost together
--- a/stepknot/peers/members.py
+++ b/stepknot/membership/members.py
@@ -20,7 +20,7 @@
    remembered. A member that was isolated for half of that time answers `UNBOUNDED`: by the time others stop counting
    it, it takes no share of anything.
 
-Bounds: `docs/peers.md` has them in one table.
+Bounds: `docs/membership.md` has them in one table.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 
 import msgspec
 
-from stepknot.peers import wire
-from stepknot.peers.errands import Errands
-from stepknot.peers.gossip import News
-from stepknot.peers.losses import many_lost, views_alike, why_isolated
-from stepknot.peers.model import (
+from stepknot.membership import wire
+from stepknot.membership.errands import Errands
+from stepknot.membership.gossip import News
+from stepknot.membership.losses import many_lost, views_alike, why_isolated
+from stepknot.membership.model import (
     GONE,
     MOST_EPOCH,
     MOST_INCARNATION,
@@ -47,11 +47,11 @@
     Record,
     State,
 )
-from stepknot.peers.questions import Questions, confirmed, widely_confirmed
-from stepknot.peers.rate import Rate
-from stepknot.peers.rings import Rings
-from stepknot.peers.table import Table
-from stepknot.peers.watched import Watched
+from stepknot.membership.questions import Questions, confirmed, widely_confirmed
+from stepknot.membership.rate import Rate
+from stepknot.membership.rings import Rings
+from stepknot.membership.table import Table
+from stepknot.membership.watched import Watched
 
 Address = tuple[str, int]
 LONG_AGO = 2**20  # seconds: what is longer ago was never
--- a/stepknot/peers/model.py
+++ b/stepknot/membership/model.py
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSettings:
-    """`docs/peers.md` derives each default. Sizes in bytes, of datagrams' contents."""
+    """`docs/membership.md` derives each default. Sizes in bytes, of datagrams' contents."""
 
     fleet: str = "stepknot"
     seeds: tuple[tuple[str, int], ...] = ()
--- a/stepknot/peers/questions.py
+++ b/stepknot/membership/questions.py
@@ -9,10 +9,10 @@
 import random
 from collections.abc import Mapping
 
-from stepknot.peers.model import PeerSettings, State
-from stepknot.peers.rings import Rings
-from stepknot.peers.table import Table
-from stepknot.peers.watched import Watched
+from stepknot.membership.model import PeerSettings, State
+from stepknot.membership.rings import Rings
+from stepknot.membership.table import Table
+from stepknot.membership.watched import Watched
 
 BREADTH = 3  # times `helpers`: others that must have had nothing younger before one of many lost at once is held dead
 
--- a/stepknot/peers/table.py
+++ b/stepknot/membership/table.py
@@ -13,8 +13,8 @@
 from hashlib import blake2b
 from zlib import crc32
 
-from stepknot.peers.model import GONE, HERE, Change, Record, State
-from stepknot.peers.wire import BUCKETS, PRINTS
+from stepknot.membership.model import GONE, HERE, Change, Record, State
+from stepknot.membership.wire import BUCKETS, PRINTS
 
 
 def digest_of(record: Record) -> int:
--- a/stepknot/peers/wire.py
+++ b/stepknot/membership/wire.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from stepknot.peers.model import MOST_INCARNATION, NAME, Record, State
+from stepknot.membership.model import MOST_INCARNATION, NAME, Record, State
 
 VERSION = 2
 MOST_BYTES = 1200  # of a datagram: it fits every path without being cut up
--- a/stepknot/boxes/rest.py
+++ b/stepknot/nodes/rest_transport.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from functools import partial
 
-from stepknot.boxes.codec import Codec, PartReply
-from stepknot.boxes.pool import Exchange, Pool
-from stepknot.boxes.side import Load, OnReply, OutgoingAttempt, nobody
 from stepknot.interface import Outcome
 from stepknot.net.http import ClientParser, HttpError
 from stepknot.net.loop import Loop
+from stepknot.nodes.codec import Codec, PartReply
+from stepknot.nodes.connection_pool import Exchange, Pool
+from stepknot.nodes.transport import Load, OnReply, OutgoingAttempt, nobody
 
 
 @dataclass(slots=True, eq=False)
--- a/stepknot/boxes/side.py
+++ b/stepknot/nodes/transport.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from stepknot.boxes.codec import PartReply
 from stepknot.interface import Outcome
+from stepknot.nodes.codec import PartReply
 
 Load = dict[str, float]
 
--- a/stepknot/platform/__main__.py
+++ b/stepknot/platform/__main__.py
@@ -28,7 +28,7 @@
         helped = arguments == ["--help"]
         print(HELP, end="", file=sys.stdout if helped else sys.stderr)
         return 0 if helped else 2
-    from stepknot.broker.life import HANDLED
+    from stepknot.broker.process import HANDLED
 
     # A signal that comes before somebody listens for it waits, as the kernel may hold clients' requests already;
     # `Life.live` lets them through.
--- a/stepknot/platform/nodes.py
+++ b/stepknot/platform/nodes.py
@@ -21,10 +21,10 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 
-from stepknot.boxes.codec import PartReply
-from stepknot.boxes.side import Load, OnReply, OutgoingAttempt, nobody
 from stepknot.interface import Outcome
 from stepknot.net.loop import Coroutine, Expired, Link, Loop
+from stepknot.nodes.codec import PartReply
+from stepknot.nodes.transport import Load, OnReply, OutgoingAttempt, nobody
 from stepknot.platform import frames
 
 CHUNK = 64 * 1024
--- a/stepknot/platform/service.py
+++ b/stepknot/platform/service.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from stepknot.broker.core import Core
-from stepknot.broker.life import Life
+from stepknot.broker.process import Life
 from stepknot.interface import ListKind, ListReceived, ServerState
 from stepknot.net.http import HttpError, HttpLimits, Request, Response
 from stepknot.net.loop import SLICE, Coroutine, Loop
--- a/stepknot/lab/audit.py
+++ b/stepknot/simulation/audit.py
@@ -14,9 +14,9 @@
 
 from stepknot.config.settings import Config, load
 from stepknot.interface import Effect
-from stepknot.lab import corpus
-from stepknot.lab.tap import read
 from stepknot.search.routing import shard_of
+from stepknot.simulation import corpus
+from stepknot.simulation.socket_recorder import read
 
 TOLERANCE = 0.25  # seconds
 LIST_TIME = (
--- a/stepknot/lab/clients.py
+++ b/stepknot/simulation/clients.py
@@ -11,8 +11,8 @@
 
 import orjson
 
-from stepknot.lab import corpus
 from stepknot.net.http import ClientParser, HttpError
+from stepknot.simulation import corpus
 
 JSON = "content-type: application/json\r\naccept-encoding: identity\r\n"
 STATUS = {
--- a/stepknot/lab/day.py
+++ b/stepknot/simulation/day.py
@@ -17,14 +17,14 @@
 
 import orjson
 
-from stepknot.boxes.pool import Exchange, Pool
-from stepknot.lab import clients, corpus
-from stepknot.lab.fleet import Box, Broker, Fleet, read_ready, readable
-from stepknot.lab.links import Rule
-from stepknot.lab.script import BOX_FAULTS, Script, Step
-from stepknot.lab.tap import Tap
 from stepknot.net.http import ClientParser, HttpError
 from stepknot.net.loop import Coroutine, Expired, Loop
+from stepknot.nodes.connection_pool import Exchange, Pool
+from stepknot.simulation import clients, corpus
+from stepknot.simulation.fleet import Box, Broker, Fleet, read_ready, readable
+from stepknot.simulation.links import Rule
+from stepknot.simulation.script import BOX_FAULTS, Script, Step
+from stepknot.simulation.socket_recorder import Tap
 
 MIX = (("search", 0.45), ("get", 0.25), ("index", 0.15), ("create", 0.15))
 DEADLINE = 3.0  # seconds: the classes' own, as in the settings of the fleet
--- a/stepknot/lab/fleet.py
+++ b/stepknot/simulation/fleet.py
@@ -20,8 +20,8 @@
 
 import orjson
 
-from stepknot.lab import corpus
-from stepknot.lab.links import Links
+from stepknot.simulation import corpus
+from stepknot.simulation.links import Links
 
 READY_WITHIN = 60.0  # seconds for a process to come up
 LISTENING = 10_000, 32_000  # ports: below those that connecting sockets get
--- a/stepknot/lab/ownership_model.py
+++ b/stepknot/simulation/lease_model.py
@@ -17,9 +17,9 @@
 
 import msgspec
 
-from stepknot.ownership import model as m
-from stepknot.ownership.node import Ownership, Work
-from stepknot.ownership.voter import Voter
+from stepknot.leases import model as m
+from stepknot.leases.node import Ownership, Work
+from stepknot.leases.voter import Voter
 
 FASTEST, SLOWEST = 0.0002, 0.002  # seconds on the way, when nothing is wrong
 TICK = 0.05  # of a lease
--- a/stepknot/lab/ownership_check.py
+++ b/stepknot/simulation/lease_model_checker.py
@@ -24,9 +24,9 @@
 
 import msgspec
 
-from stepknot.ownership import model as m
-from stepknot.ownership.owner import Owner, Phase
-from stepknot.ownership.voter import Voter
+from stepknot.leases import model as m
+from stepknot.leases.owner import Owner, Phase
+from stepknot.leases.voter import Voter
 
 JOB = "j"
 VOTERS, CANDIDATES = ("A", "B", "C"), ("x", "y")
--- a/stepknot/lab/peers_baselines.py
+++ b/stepknot/simulation/membership_baselines.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from stepknot.peers.model import Change, Counts, PeerSettings, Record, State
+from stepknot.membership.model import Change, Counts, PeerSettings, Record, State
 
 Address = tuple[str, int]
 SECOND = 1.0
--- a/stepknot/lab/peers_model.py
+++ b/stepknot/simulation/membership_model.py
@@ -14,8 +14,8 @@
 from hashlib import blake2b
 from typing import Any, Protocol
 
-from stepknot.peers.members import Members
-from stepknot.peers.model import Change, Counts, PeerSettings, Record, State
+from stepknot.membership.members import Members
+from stepknot.membership.model import Change, Counts, PeerSettings, Record, State
 
 Address = tuple[str, int]
 SHORTEST, LONGEST = 0.0002, 0.002  # seconds on the way, when nothing is wrong
--- a/stepknot/lab/peers_search.py
+++ b/stepknot/simulation/membership_search.py
@@ -17,9 +17,9 @@
 from dataclasses import dataclass
 from functools import partial
 
-from stepknot.lab.peers_model import Model
-from stepknot.peers.members import Members
-from stepknot.peers.model import PeerSettings, State
+from stepknot.membership.members import Members
+from stepknot.membership.model import PeerSettings, State
+from stepknot.simulation.membership_model import Model
 
 TROUBLED, CONVERGED = 90.0, 60.0
 STEP = 0.5
--- a/stepknot/lab/scale_figures.py
+++ b/stepknot/simulation/scale_figures.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from stepknot.lab.scale_members import MembersState, resident
+from stepknot.simulation.scale_members import MembersState, resident
 
 OWNED, KNOWN = 'stepknot_job_owned{job="drains"}', 'stepknot_job_known{job="drains"}'
 EVENTS, STATES = 'stepknot_peers_events_total{what="', 'stepknot_peers{state="'
--- a/stepknot/lab/scale_fleet.py
+++ b/stepknot/simulation/scale_fleet.py
@@ -19,11 +19,19 @@
 
 import msgspec
 
-from stepknot.broker.voterstore import VoterStore
-from stepknot.lab.fleet import Box, Broker, Fleet, block_text, free_ports, read_ready, settings_text
-from stepknot.lab.scale_members import MembersSpec
-from stepknot.lab.scale_nodes import NodeSpec, NodesSpec
-from stepknot.lab.scale_plan import CELLS, DEFAULT, ZONES, ScalePlan, chance, zone_of
+from stepknot.broker.voter_store import VoterStore
+from stepknot.simulation.fleet import (
+    Box,
+    Broker,
+    Fleet,
+    block_text,
+    free_ports,
+    read_ready,
+    settings_text,
+)
+from stepknot.simulation.scale_members import MembersSpec
+from stepknot.simulation.scale_nodes import NodeSpec, NodesSpec
+from stepknot.simulation.scale_plan import CELLS, DEFAULT, ZONES, ScalePlan, chance, zone_of
 
 WORK = 0.002  # seconds of a node's core for a part
 DEADLINE = 3.0  # seconds: the classes' own, and the longest that a client of the run waits
@@ -164,7 +172,7 @@
     def spawn_host(self, name: str, module: str, spec: msgspec.Struct) -> Started:
         path = self.folder / f"{name}.json"
         path.write_bytes(msgspec.json.encode(spec))
-        return self.spawn(str(path), log=name, program=("-m", f"stepknot.lab.{module}"))
+        return self.spawn(str(path), log=name, program=("-m", f"stepknot.simulation.{module}"))
 
     # --- processes
 
--- a/stepknot/lab/scale_owners.py
+++ b/stepknot/simulation/scale_leases.py
@@ -6,13 +6,13 @@
 
 from __future__ import annotations
 
-from stepknot.broker.peering import Peering
+from stepknot.broker.membership_driver import Peering
+from stepknot.leases import drains
+from stepknot.leases.model import MARK, Held, OwnerSettings, Saved
+from stepknot.leases.node import Ownership, Work
+from stepknot.leases.voter import Voter
+from stepknot.membership.model import State
 from stepknot.net.loop import Loop
-from stepknot.ownership import drains
-from stepknot.ownership.model import MARK, Held, OwnerSettings, Saved
-from stepknot.ownership.node import Ownership, Work
-from stepknot.ownership.voter import Voter
-from stepknot.peers.model import State
 
 TICK = 0.05  # of a lease, as real brokers have it
 FIRST_LIFE = 1
--- a/stepknot/lab/scale_members.py
+++ b/stepknot/simulation/scale_members.py
@@ -1,7 +1,7 @@
-"""Many simulated members in one process and on one loop: `python -m stepknot.lab.scale_members SPEC.json`.
+"""Many simulated members in one process and on one loop: `python -m stepknot.simulation.scale_members SPEC.json`.
 
 Each is the membership that ships (`broker.peering.Peering`) with a socket of its own on loopback, and ownership where
-there are voters (`scale_owners`); it stands for a broker's control and for nothing else. Simulated are the way its
+there are voters (`scale_leases`); it stands for a broker's control and for nothing else. Simulated are the way its
 process ends (the socket closes without a word) and a cut of the network: members inside it drop all that they send to,
 or receive from, whoever is not.
 
@@ -17,19 +17,20 @@
 import time
 from collections import Counter
 from collections.abc import Callable, Generator
+from functools import partial
 from pathlib import Path
 from typing import Any
 
 import msgspec
 
-from stepknot.broker.peering import Peering
-from stepknot.config.peers import Peers
-from stepknot.lab.scale_owners import SimulatedOwner
+from stepknot.broker.membership_driver import Peering
+from stepknot.config.membership import Peers
+from stepknot.leases.model import OwnerSettings
+from stepknot.membership.model import PeerSettings, State
 from stepknot.net.http import HttpError, HttpLimits, Request, Response
 from stepknot.net.loop import Datagrams, Loop, Park
 from stepknot.net.server import Connection, Server
-from stepknot.ownership.model import OwnerSettings
-from stepknot.peers.model import PeerSettings, State
+from stepknot.simulation.scale_leases import SimulatedOwner
 
 Address = tuple[str, int]
 PARENT_LOOK = 1.0  # seconds between two looks whether the parent is there
@@ -178,8 +179,8 @@
         for name in self.spec.names:
             self.loop.call_later(
                 self.loop.rng.uniform(0, self.spec.start_within),
-                lambda name=name: self.start_member(name),
-            )  # type: ignore[misc]
+                partial(self.start_member, name),
+            )
 
     def start_member(self, name: str) -> None:
         self.members[name] = Peering(
--- a/stepknot/lab/scale_model.py
+++ b/stepknot/simulation/scale_model.py
@@ -1,6 +1,6 @@
 """The model's figures for a scale run: its members, settings and troubles, on a virtual clock.
 
-In a process of its own, so that its memory is the model's: `python -m stepknot.lab.scale_model SPEC.json`.
+In a process of its own, so that its memory is the model's: `python -m stepknot.simulation.scale_model SPEC.json`.
 """
 
 from __future__ import annotations
@@ -10,14 +10,15 @@
 import time
 from collections.abc import Callable
 from dataclasses import replace
+from functools import partial
 from pathlib import Path
 
 import msgspec
 
-from stepknot.lab.peers_model import Model
-from stepknot.lab.scale_figures import Cost, Times
-from stepknot.lab.scale_members import resident
-from stepknot.peers.model import PeerSettings, State
+from stepknot.membership.model import PeerSettings, State
+from stepknot.simulation.membership_model import Model
+from stepknot.simulation.scale_figures import Cost, Times
+from stepknot.simulation.scale_members import resident
 
 STEP = 0.1  # seconds between two looks at the views
 # As a wall's clock, the kernel and the run give them: the same number of bytes in a datagram.
@@ -109,8 +110,8 @@
         address = HOST, PORT + int(name[1:])
         model.at(
             model.now + model.random.uniform(0, spec.start_within),
-            lambda name=name, address=address: model.start(name, address),
-        )  # type: ignore[misc]
+            partial(model.start, name, address),
+        )
     model.run(model.now + spec.start_within)
 
 
--- a/stepknot/lab/scale_nodes.py
+++ b/stepknot/simulation/scale_nodes.py
@@ -1,4 +1,4 @@
-"""Many stand-in nodes in one process and on one loop: `python -m stepknot.lab.scale_nodes SPEC.json`.
+"""Many stand-in nodes in one process and on one loop: `python -m stepknot.simulation.scale_nodes SPEC.json`.
 
 Each is `box.StandIn`, real sockets and real data, and notes at its sockets what the audit needs; they share one tap.
 Ends on SIGTERM, or when its parent does.
@@ -15,8 +15,8 @@
 import msgspec
 
 from stepknot.config.settings import load
-from stepknot.lab.box import BoxPlan, StandIn
 from stepknot.net.loop import Coroutine, Loop
+from stepknot.simulation.stand_in_node import BoxPlan, StandIn
 
 PARENT_LOOK = 1.0  # seconds between two looks whether the parent is there
 
--- a/stepknot/lab/scale_plan.py
+++ b/stepknot/simulation/scale_plan.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import TypeVar
 
-from stepknot.peers.model import PeerSettings
+from stepknot.membership.model import PeerSettings
 
 Item = TypeVar("Item")
 DEFAULT = PeerSettings()
--- a/stepknot/lab/scale_report.py
+++ b/stepknot/simulation/scale_report.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from stepknot.lab.scale_figures import Cost, Times
-from stepknot.lab.scale_run import Result
+from stepknot.simulation.scale_figures import Cost, Times
+from stepknot.simulation.scale_run import Result
 
 STEPS = (
     ("start", "all started, views right"),
--- a/stepknot/lab/scale_run.py
+++ b/stepknot/simulation/scale_run.py
@@ -19,12 +19,14 @@
 
 import msgspec
 
-from stepknot.boxes.pool import Exchange
 from stepknot.interface import Outcome
-from stepknot.lab.audit import Records, audit
-from stepknot.lab.day import ADMISSION, Day
-from stepknot.lab.fleet import Broker, read_ready, readable
-from stepknot.lab.scale_figures import (
+from stepknot.net.http import ClientParser
+from stepknot.net.loop import Coroutine, Park, Signal
+from stepknot.nodes.connection_pool import Exchange
+from stepknot.simulation.audit import Records, audit
+from stepknot.simulation.day import ADMISSION, Day
+from stepknot.simulation.fleet import Broker, read_ready, readable
+from stepknot.simulation.scale_figures import (
     OWNERS,
     BrokerState,
     Cost,
@@ -36,7 +38,7 @@
     read_broker,
     shares,
 )
-from stepknot.lab.scale_fleet import (
+from stepknot.simulation.scale_fleet import (
     DEADLINE,
     MembersProcess,
     NodesHost,
@@ -44,12 +46,10 @@
     Started,
     running,
 )
-from stepknot.lab.scale_members import Address, Crash, Cut, MembersState
-from stepknot.lab.scale_model import ModelFigures, ModelSpec
-from stepknot.lab.scale_plan import ZONES, ScalePlan, chance
-from stepknot.lab.script import Script
-from stepknot.net.http import ClientParser
-from stepknot.net.loop import Coroutine, Park, Signal
+from stepknot.simulation.scale_members import Address, Crash, Cut, MembersState
+from stepknot.simulation.scale_model import ModelFigures, ModelSpec
+from stepknot.simulation.scale_plan import ZONES, ScalePlan, chance
+from stepknot.simulation.script import Script
 
 LOOK = 0.1  # seconds between two looks at whether views are right: how fine the times are
 FETCH_WITHIN = 2.0  # seconds for a process to answer such a look
@@ -521,7 +521,7 @@
     path = plan.folder / "model.json"
     path.write_bytes(msgspec.json.encode(spec))
     found = subprocess.run(
-        [sys.executable, "-m", "stepknot.lab.scale_model", str(path)],
+        [sys.executable, "-m", "stepknot.simulation.scale_model", str(path)],
         stdout=subprocess.PIPE,
         check=True,
         timeout=MODEL_WITHIN,
--- a/stepknot/lab/tap.py
+++ b/stepknot/simulation/socket_recorder.py
@@ -15,7 +15,7 @@
 
 class Tap:
     def __init__(self, path: Path | None, who: str) -> None:
-        self.file = open(path, "ab", buffering=0) if path else None  # noqa: SIM115 - kept for the process's life
+        self.file = open(path, "ab", buffering=0) if path else None  # noqa: SIM115 - kept open
         self.who = who
 
     def note(self, what: str, **fields: Any) -> None:
--- a/stepknot/lab/box.py
+++ b/stepknot/simulation/stand_in_node.py
@@ -19,22 +19,22 @@
 
 import orjson
 
-from stepknot.boxes.codec import LOAD_HEADER, NAMED
-from stepknot.boxes.pool import Exchange, Pool
 from stepknot.broker.indices import index_of
 from stepknot.config.hcl import ConfigError
 from stepknot.config.settings import Config, Index
-from stepknot.discovery.boxlist import read_entries
+from stepknot.discovery.endpoint_file import read_entries
 from stepknot.interface import Effect, Outcome, Rules
-from stepknot.lab import corpus
-from stepknot.lab.engine import Shard
-from stepknot.lab.tap import Tap
 from stepknot.net.http import ClientParser, HttpError, HttpLimits, Request, Response
 from stepknot.net.loop import Coroutine, Loop, Park, Signal
 from stepknot.net.server import Connection, Server
+from stepknot.nodes.codec import LOAD_HEADER, NAMED
+from stepknot.nodes.connection_pool import Exchange, Pool
 from stepknot.search.errors import RequestError
 from stepknot.search.request import parse_search
 from stepknot.search.routing import shard_of
+from stepknot.simulation import corpus
+from stepknot.simulation.engine import Shard
+from stepknot.simulation.socket_recorder import Tap
 
 FELL_OVER, CRASHED = 4, 9  # exit codes
 MOST_TOKENS = 100_000  # of writes remembered
--- a/stepknot/subsets/__init__.py
+++ b/stepknot/subsets/__init__.py
@@ -1,7 +1,7 @@
 """Bounded subsets: which nodes of the list one broker uses, and how many brokers share a cold one.
 
 Decisions only: no I/O, no clock, no chance of their own. `choice` ranks and chooses, `cold` divides a cold node's
-budget, `subset` keeps the list and the subset and says what changed. Carried out by `stepknot/broker/subsetting.py`;
+budget, `subset` keeps the list and the subset and says what changed. Carried out by `stepknot/broker/subset_driver.py`;
 weighed in `docs/subsets.md`. Invariants, by number in tests and planted defects:
 
 S1  A shard keeps the least of `size` and of what there is of warm nodes, counted over its cells; cold ones come on top.
--- a/tests/admission/test_policy.py
+++ b/tests/admission/test_policy.py
@@ -183,7 +183,7 @@
         front.arrive(f"10.0.1.{each}")
     assert front.admission.ranked[Rank.UNKNOWN] == 30
     front.admission.settle(many[0])  # used of late: the second one is the idlest now
-    number, verdict = front.arrive("10.0.2.1")
+    _number, verdict = front.arrive("10.0.2.1")
     assert verdict.place is Place.SEAT and verdict.shed == (many[1],)
     assert isinstance(front.ask(many[2]), Turn)
     assert front.arrive("10.0.2.2")[1].shed == (many[3],)  # not the one with a query in work
@@ -242,9 +242,9 @@
     for each in range(20):
         front.arrive(f"10.0.1.{each}")
     front.shed.clear()
-    number, verdict = front.arrive("10.0.1.1")
+    _number, verdict = front.arrive("10.0.1.1")
     while verdict.place is Place.SEAT:
-        number, verdict = front.arrive("10.0.1.1")
+        _number, verdict = front.arrive("10.0.1.1")
     assert verdict.place is Place.LANE and len(front.admission.lane) == 6 and len(front.shed) > 0
 
 
--- a/tests/admission/test_sockets.py
+++ b/tests/admission/test_sockets.py
@@ -14,7 +14,7 @@
 import time
 from collections import Counter
 from collections.abc import Iterator
-from contextlib import contextmanager
+from contextlib import contextmanager, suppress
 from pathlib import Path
 from typing import Any
 
@@ -23,7 +23,7 @@
 
 from stepknot.admission.forwarded import SIGNATURE
 from stepknot.admission.model import Rank
-from stepknot.lab.fleet import free_ports, read_ready, settings_text
+from stepknot.simulation.fleet import free_ports, read_ready, settings_text
 from tests.broker.scripted import WAIT, Call, Client, Running, ScriptedBox, broker, until
 from tests.graphql.asking import JSON
 from tests.graphql.test_hard_cases import set_limits
@@ -318,10 +318,8 @@
         def drip() -> None:
             while not stop.wait(0.1):
                 for each in slow:
-                    try:
+                    with suppress(OSError):
                         each.sock.send(b"x")
-                    except OSError:
-                        pass
 
         thread = threading.Thread(target=drip)
         thread.start()
@@ -599,8 +597,9 @@
 
 def test_a_limit_of_128_is_reached_and_held_and_known_clients_are_served(tmp_path: Path) -> None:
     """Hundreds of addresses take all seats and keep asking for more: budgets hold, nothing spins, and the boxes' side
-    has its part."""
-    with lowered(tmp_path, 128, per_address=4) as (port, admin, process, log):
+    has its part.
+    """
+    with lowered(tmp_path, 128, per_address=4) as (port, admin, process, _log):
         holders = []
         for each in range(150):
             sock = connect(port, f"127.0.{10 + each // 100}.{each % 100 + 1}")
@@ -648,7 +647,7 @@
     tmp_path: Path,
 ) -> None:
     """The limit is lowered under a running broker: accept fails, and whoever waits is told, not left waiting."""
-    with lowered(tmp_path, 256, per_address=400, per_v4_24=400) as (port, _, process, log):
+    with lowered(tmp_path, 256, per_address=400, per_v4_24=400) as (port, _, process, _log):
         known = Client(connect(port, KNOWN))
         assert known("POST", SEARCH).status == 200
         now = descriptors_of(process.pid)
--- a/tests/broker/scripted.py
+++ b/tests/broker/scripted.py
@@ -6,7 +6,7 @@
 import threading
 import time
 from collections.abc import Callable, Iterator, Sequence
-from contextlib import contextmanager
+from contextlib import contextmanager, suppress
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
@@ -16,7 +16,7 @@
 from stepknot.broker.service import Service
 from stepknot.cli.serve import make
 from stepknot.config.settings import load
-from stepknot.lab.fleet import settings_text
+from stepknot.simulation.fleet import settings_text
 
 WAIT = 10.0  # seconds for what must happen; nothing here waits that long unless it fails
 Script = Callable[["Call"], None]
@@ -149,10 +149,8 @@
     def close(self) -> None:
         """At once, also where a thread is reading."""
         for sock in [self.listener, *self.socks]:
-            try:
+            with suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
-            except OSError:
-                pass
             sock.close()
 
 
@@ -259,7 +257,8 @@
 
     def stall_with_the_next_query(self, seconds: float) -> list[float]:
         """The loop stands still in the very turn that takes it: however busy the machine, its time cannot end before.
-        What is handed back holds the stall once it has begun."""
+        What is handed back holds the stall once it has begun.
+        """
         taken = self.call(lambda: self.service.core.counts["queries"])
         stalls: list[float] = []
 
--- a/tests/broker/test_hard_cases.py
+++ b/tests/broker/test_hard_cases.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import gc
 import gzip
 import socket
@@ -112,10 +113,8 @@
             call.serve()
             return
         gate.wait(5)
-        try:
+        with contextlib.suppress(OSError):
             call.serve()
-        except OSError:
-            pass
 
     for box in run.boxes:
         box.script = late
--- a/tests/config/test_peers.py
+++ b/tests/config/test_membership.py
@@ -13,7 +13,7 @@
 from stepknot.cli.main import cli
 from stepknot.config.hcl import ConfigError
 from stepknot.config.settings import load
-from stepknot.lab.fleet import Fleet, settings_text
+from stepknot.simulation.fleet import Fleet, settings_text
 
 BLOCK = """\
 peers {
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -10,9 +10,9 @@
 from stepknot.cli.main import cli
 from stepknot.config.hcl import ConfigError, parse
 from stepknot.config.settings import load
-from stepknot.discovery.boxlist import changes, read_entries
+from stepknot.discovery.endpoint_file import changes, read_entries
 from stepknot.interface import Effect, ServerState
-from stepknot.lab.fleet import settings_text
+from stepknot.simulation.fleet import settings_text
 
 GOOD = settings_text(port=9200)
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import settings
 
-from stepknot.lab.fleet import Fleet
+from stepknot.simulation.fleet import Fleet
 
 DOCUMENTS = 2_000
 
--- a/tests/fronts/test_opensearch_py.py
+++ b/tests/frontends/test_opensearch_py.py
@@ -9,9 +9,9 @@
 import pytest
 from opensearchpy import ConflictError, NotFoundError, OpenSearch, RequestError, helpers
 
-from stepknot.lab import corpus
-from stepknot.lab.engine import tokens
-from stepknot.lab.fleet import Fleet
+from stepknot.simulation import corpus
+from stepknot.simulation.engine import tokens
+from stepknot.simulation.fleet import Fleet
 from tests.conftest import DOCUMENTS
 
 NAMES = {corpus.name_of(number): corpus.document(number) for number in range(DOCUMENTS)}
--- a/tests/graphql/asking.py
+++ b/tests/graphql/asking.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from stepknot.lab.fleet import Broker
+from stepknot.simulation.fleet import Broker
 from tests.broker.scripted import WAIT, Answer, Client, Running
 
 JSON = "content-type: application/json\r\n"
--- a/tests/graphql/test_decisions.py
+++ b/tests/graphql/test_decisions.py
@@ -16,12 +16,12 @@
 from stepknot.config.hcl import ConfigError
 from stepknot.config.hcl import parse as parse_hcl
 from stepknot.config.settings import build, load
-from stepknot.fronts.graphql.budget import Budget, Budgets
-from stepknot.fronts.graphql.documents import Documents, Invalid
-from stepknot.fronts.graphql.limits import Measure, TooMuch, check_shape, scan
-from stepknot.fronts.graphql.sdl import date_in, date_out, long_in, subgraph_sdl
-from stepknot.fronts.graphql.shape import make_schema
-from stepknot.lab.fleet import settings_text
+from stepknot.frontends.graphql.budget import Budget, Budgets
+from stepknot.frontends.graphql.documents import Documents, Invalid
+from stepknot.frontends.graphql.limits import Measure, TooMuch, check_shape, scan
+from stepknot.frontends.graphql.sdl import date_in, date_out, long_in, subgraph_sdl
+from stepknot.frontends.graphql.shape import make_schema
+from stepknot.simulation.fleet import settings_text
 from tests.broker.scripted import broker
 from tests.graphql.asking import Graph
 
--- a/tests/graphql/test_operations.py
+++ b/tests/graphql/test_operations.py
@@ -9,8 +9,8 @@
 import pytest
 from graphql import get_introspection_query
 
-from stepknot.lab import corpus
-from stepknot.lab.fleet import Fleet
+from stepknot.simulation import corpus
+from stepknot.simulation.fleet import Fleet
 from tests.broker.scripted import Client
 from tests.conftest import DOCUMENTS
 from tests.graphql.asking import Graph, codes, coverage
--- a/tests/graphql/test_over_http.py
+++ b/tests/graphql/test_over_http.py
@@ -9,7 +9,7 @@
 import orjson
 import pytest
 
-from stepknot.lab.fleet import Fleet
+from stepknot.simulation.fleet import Fleet
 from tests.broker.scripted import WAIT, Answer, Client
 from tests.graphql.asking import JSON, Graph, codes, get_body
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -48,40 +48,40 @@
 
 
 def rules(**changes: Any) -> Rules:
-    values: dict[str, Any] = dict(
-        drain_grace=0.5,
-        cold_share=0.2,
-        cold_time=10.0,
-        fall_multiple=3.0,
-        fall_time=1.0,
-        ask_within=10.0,
-    )
+    values: dict[str, Any] = {
+        "drain_grace": 0.5,
+        "cold_share": 0.2,
+        "cold_time": 10.0,
+        "fall_multiple": 3.0,
+        "fall_time": 1.0,
+        "ask_within": 10.0,
+    }
     return Rules(**(values | changes))
 
 
 def limits(**changes: Any) -> Limits:
-    values: dict[str, Any] = dict(
-        max_attempts=3,
-        cancelling=True,
-        probing=False,
-        second_copies=True,
-        retry_after=True,
-        max_retry_after=1.0,
-    )
+    values: dict[str, Any] = {
+        "max_attempts": 3,
+        "cancelling": True,
+        "probing": False,
+        "second_copies": True,
+        "retry_after": True,
+        "max_retry_after": 1.0,
+    }
     return Limits(**(values | changes))
 
 
 def make_settings(**changes: Any) -> Settings:
-    values: dict[str, Any] = dict(
-        instances=2,
-        cells=2,
-        reach=1,
-        parts_per_call=1,
-        classes=CLASSES,
-        rules=rules(),
-        limits=limits(),
-        tick=TICK,
-    )
+    values: dict[str, Any] = {
+        "instances": 2,
+        "cells": 2,
+        "reach": 1,
+        "parts_per_call": 1,
+        "classes": CLASSES,
+        "rules": rules(),
+        "limits": limits(),
+        "tick": TICK,
+    }
     return Settings(**(values | changes))
 
 
@@ -267,7 +267,7 @@
 
     def check_send(self, action: Send) -> None:
         query_id = self.query_of[action.part_id]
-        kind, deadline = self.kinds[query_id]
+        kind, _deadline = self.kinds[query_id]
         assert query_id not in self.finals and action.part_id not in self.over, "sent after its end"
         tries = self.attempts[action.part_id]
         assert action.attempt == len(tries), "attempts are numbered in the order of their sends"
@@ -304,7 +304,7 @@
         )
         tries.append((action.server, self.now, None))
         up = self.entries[action.server].up_since
-        if 0 < up and self.now - up < self.settings.rules.cold_time:
+        if up > 0 and self.now - up < self.settings.rules.cold_time:
             self.check_cold(action.server, self.now - up)
         assert action.timeout >= 0
 
--- a/tests/ownership/test_decisions.py
+++ b/tests/leases/test_decisions.py
@@ -15,21 +15,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stepknot.broker.voterstore import MAGIC, Unfit, VoterStore, digest, pack, unpack
+from stepknot.broker.voter_store import MAGIC, Unfit, VoterStore, digest, pack, unpack
 from stepknot.config.hcl import ConfigError
 from stepknot.config.settings import load
-from stepknot.discovery.drained import Drained
+from stepknot.discovery.drained_endpoints import Drained
 from stepknot.interface import ListKind, ListReceived, ServerEntry, ServerState
-from stepknot.lab.fleet import settings_text
-from stepknot.ownership import drains
-from stepknot.ownership import model as m
-from stepknot.ownership.fence import Fence
-from stepknot.ownership.node import ORDERS, Ownership, Work
-from stepknot.ownership.owner import Owner, Phase
-from stepknot.ownership.place import order
-from stepknot.ownership.quorum import sound
-from stepknot.ownership.voter import Voter
-from stepknot.peers.wire import MOST_BYTES
+from stepknot.leases import drains
+from stepknot.leases import model as m
+from stepknot.leases.fence import Fence
+from stepknot.leases.node import ORDERS, Ownership, Work
+from stepknot.leases.owner import Owner, Phase
+from stepknot.leases.place import order
+from stepknot.leases.quorum import sound
+from stepknot.leases.voter import Voter
+from stepknot.membership.wire import MOST_BYTES
+from stepknot.simulation.fleet import settings_text
 
 SETTINGS = m.OwnerSettings(("A", "B", "C"))
 SAVED = m.Saved(
@@ -105,7 +105,7 @@
     code = f"""
         import resource, signal
         from pathlib import Path
-        from stepknot.broker.voterstore import VoterStore
+        from stepknot.broker.voter_store import VoterStore
         signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
         resource.setrlimit(resource.RLIMIT_FSIZE, (50, 50))
         try:
@@ -119,7 +119,7 @@
 
 @given(st.binary(max_size=200))
 def test_whatever_stands_on_disk_is_a_state_or_a_word_about_it(data: bytes) -> None:
-    with pytest.raises(Exception) as caught:  # noqa: PT011
+    with pytest.raises(Exception) as caught:
         unpack(data)
     assert type(caught.value).__name__ in ("Damaged", "Unfit")
 
@@ -527,7 +527,7 @@
 @pytest.mark.parametrize("module", ["stepknot.platform.service", "stepknot.broker.service"])
 def test_without_the_block_its_decisions_are_not_loaded(module: str) -> None:
     code = (
-        f"import sys, {module}; sys.exit(any(name in sys.modules for name in ('stepknot.broker.owning', "
-        "'stepknot.ownership.node', 'stepknot.broker.voterstore')))"
+        f"import sys, {module}; sys.exit(any(name in sys.modules for name in ('stepknot.broker.lease_driver', "
+        "'stepknot.leases.node', 'stepknot.broker.voter_store')))"
     )
     assert subprocess.run([sys.executable, "-c", code], timeout=30).returncode == 0
--- a/tests/ownership/test_model.py
+++ b/tests/leases/test_model.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from stepknot.lab.ownership_model import Breach, Fleet, random_day
-from stepknot.ownership.voter import Voter
+from stepknot.leases.voter import Voter
+from stepknot.simulation.lease_model import Breach, Fleet, random_day
 
 pytestmark = pytest.mark.cpu_only
 
--- a/tests/ownership/test_check.py
+++ b/tests/leases/test_model_checker.py
@@ -8,7 +8,11 @@
 
 import pytest
 
-from stepknot.lab.ownership_check import (
+from stepknot.leases import model as m
+from stepknot.leases import owner as owner_module
+from stepknot.leases.owner import Owner, Phase
+from stepknot.leases.voter import Voter, Way
+from stepknot.simulation.lease_model_checker import (
     Breach,
     Parts,
     Result,
@@ -20,10 +24,6 @@
     story,
     walk,
 )
-from stepknot.ownership import model as m
-from stepknot.ownership import owner as owner_module
-from stepknot.ownership.owner import Owner, Phase
-from stepknot.ownership.voter import Voter, Way
 
 pytestmark = pytest.mark.cpu_only
 
@@ -214,10 +214,8 @@
         for each in world.actions()
         if each not in done
         and (
-            each[0] == "deliver"
-            and {each[1], each[2]} <= set(names)
-            or each[0] in ("disk", "way")
-            and each[1] in names
+            (each[0] == "deliver" and {each[1], each[2]} <= set(names))
+            or (each[0] in ("disk", "way") and each[1] in names)
         )
     ]:
         if due[0][0] != "disk":
--- a/tests/ownership/test_processes.py
+++ b/tests/leases/test_processes.py
@@ -21,7 +21,7 @@
 import pytest
 
 from stepknot.cli.admin import ask
-from stepknot.lab.fleet import Fleet
+from stepknot.simulation.fleet import Fleet
 from tests.processes import Brokers
 
 LEASE = 0.8
@@ -68,7 +68,8 @@
 
     def steady(self) -> bool:
         """One owner that every voter that runs granted its epoch: no claim of before can be granted any more. After two
-        claimed at once, one voter may have promised the owner's epoch to the other; the owner then claims once more."""
+        claimed at once, one voter may have promised the owner's epoch to the other; the owner then claims once more.
+        """
         owner = self.owner()
         if not owner:
             return False
@@ -92,12 +93,13 @@
 
     def undo_drain(self, by: str) -> None:
         """No drain is left. One that is stopped waits for an operator; another may end between the look and the order,
-        and then the order is refused for just that reason."""
+        and then the order is refused for just that reason.
+        """
         status = self.drains(by)["status"]
         if status in ACTIVE:
             said = self.said(by, "--undo")
             ended = said.returncode == 1 and 'no drain runs: done"' in said.stderr
-            assert said.returncode == 0 or status != "stopped" and ended, (
+            assert said.returncode == 0 or (status != "stopped" and ended), (
                 status,
                 said.returncode,
                 said.stderr,
--- a/tests/peers/test_decisions.py
+++ b/tests/membership/test_decisions.py
@@ -11,12 +11,19 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from stepknot.lab.peers_model import Model
-from stepknot.peers import wire
-from stepknot.peers.members import Members
-from stepknot.peers.model import HERE, MOST_EPOCH, MOST_INCARNATION, PeerSettings, Record, State
-from stepknot.peers.rings import Rings
-from stepknot.peers.table import Table, identity_of
+from stepknot.membership import wire
+from stepknot.membership.members import Members
+from stepknot.membership.model import (
+    HERE,
+    MOST_EPOCH,
+    MOST_INCARNATION,
+    PeerSettings,
+    Record,
+    State,
+)
+from stepknot.membership.rings import Rings
+from stepknot.membership.table import Table, identity_of
+from stepknot.simulation.membership_model import Model
 
 pytestmark = pytest.mark.cpu_only
 
@@ -448,7 +455,8 @@
 
 class Fleets(RuleBasedStateMachine):
     """Any order of cuts, stalls, deaths, restarts, leaves and waits; at each step what must never be; at the end, once
-    all faults are over, one view."""
+    all faults are over, one view.
+    """
 
     @initialize(seed=st.integers(0, 2**32), size=st.integers(3, 9))
     def begin(self, seed: int, size: int) -> None:
@@ -556,7 +564,7 @@
                 == 1
             ):
                 return
-        raise AssertionError({name: view for name, view in self.model.views().items()})
+        raise AssertionError(dict(self.model.views().items()))
 
 
 TestFleets = Fleets.TestCase
--- a/tests/peers/test_model.py
+++ b/tests/membership/test_model.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from stepknot.lab.peers_model import Model
-from stepknot.peers.model import Counts, PeerSettings, State
+from stepknot.membership.model import Counts, PeerSettings, State
+from stepknot.simulation.membership_model import Model
 
 pytestmark = pytest.mark.cpu_only
 
@@ -243,7 +243,7 @@
 ) -> None:
     model = ready(seed=seed)
     at = model.now
-    small, great = halves(model, smaller)
+    small, _great = halves(model, smaller)
     part(model, small)
     for _ in model.steps(at + 60.0):
         for each in model.up():  # a count to divide by is never under what may truly be there
@@ -259,7 +259,7 @@
 def test_of_two_groups_that_a_bridge_joins_nobody_is_held_dead_whom_most_reach() -> None:
     model = ready()
     at = model.now
-    small, great = halves(model, 8)
+    small, _great = halves(model, 8)
     bridge = min(small)
     model.network.cut = lambda source, target: (
         bridge not in (source, target) and (source in small) != (target in small)
@@ -353,7 +353,8 @@
 @pytest.mark.parametrize("seed", [1, 3])
 def test_many_that_join_at_once_are_let_in_by_seeds_that_were_there_before(seed: int) -> None:
     """A seed's answer to who joins had to wait for what its heartbeats left of the rate: with addresses and epochs of a
-    real length nothing was left, and a quarter of a hundred that joined within a second were out a minute later."""
+    real length nothing was left, and a quarter of a hundred that joined within a second were out a minute later.
+    """
     model = Model(3, seed)
     model.settings = replace(model.settings, configured=103)
     model.epoch = 1_790_000_000_000  # milliseconds since 1970, as processes have it
@@ -373,7 +374,8 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_third_lost_at_once_is_known_to_all_also_where_little_may_be_sent(seed: int) -> None:
     """Questions about the lost, and answers, took all that the others may send: nothing was left for word of the deaths
-    and for repairs, and so the questions went on for good."""
+    and for repairs, and so the questions went on for good.
+    """
     model = ready(40, seed, PeerSettings(rate=1200.0, burst=9600.0))
     lost, at = set(list(model.processes)[1::3]), model.now
     for name in lost:
--- a/tests/peers/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -14,11 +14,11 @@
 import pytest
 
 from stepknot.cli.admin import ask
-from stepknot.lab.audit import Records, audit
-from stepknot.lab.day import run_day
-from stepknot.lab.fleet import Fleet, read_ready
-from stepknot.lab.links import Rule
-from stepknot.lab.script import Script, Step
+from stepknot.simulation.audit import Records, audit
+from stepknot.simulation.day import run_day
+from stepknot.simulation.fleet import Fleet, read_ready
+from stepknot.simulation.links import Rule
+from stepknot.simulation.script import Script, Step
 from tests.processes import Brokers
 
 PERIOD, PAUSE = 0.25, 2.0
@@ -185,7 +185,7 @@
     )
     brokers.stop("b2")
     brokers.until(lambda: brokers.out({"b2"}))
-    spare.number, spare.name, spare.peers = 8, "b2", {key: value for key, value in KEYS.items()}
+    spare.number, spare.name, spare.peers = 8, "b2", dict(KEYS.items())
     text = (brokers.fleet.folder / f"broker-{old.number}.hcl").read_text()
     relayed = old.peers["advertise"]
     for before, after in (
--- a/tests/peers/test_search.py
+++ b/tests/membership/test_search.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from stepknot.lab.peers_search import Day, play
+from stepknot.simulation.membership_search import Day, play
 
 pytestmark = pytest.mark.cpu_only
 
--- a/tests/net/test_server.py
+++ b/tests/net/test_server.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import random
 import socket
 import struct
@@ -154,10 +155,8 @@
     left = [8_000_000]
 
     def send() -> bool:  # beyond all buffers, and then the end
-        try:
+        with contextlib.suppress(BlockingIOError):
             left[0] -= sock.send(bytes(min(left[0], 1 << 16)))
-        except BlockingIOError:
-            pass
         return not left[0]
 
     front.until(send)
@@ -262,10 +261,8 @@
     sock.setblocking(False)
 
     def read() -> bool:
-        try:
+        with contextlib.suppress(BlockingIOError):
             got.extend(sock.recv(1 << 20))
-        except BlockingIOError:
-            pass
         return len(got) > done
 
     front.until(read)
--- a/tests/platform/test_discovery.py
+++ b/tests/platform/test_discovery.py
@@ -270,7 +270,8 @@
 @pytest.mark.parametrize("mood", ["silent", "half", "empty", "refuse", "lost"])
 def test_a_change_is_told_in_time_whatever_call_failed(mood: str) -> None:
     """The watch falls silent, the next call comes to nothing, the one after it is served: a drain that discovery had
-    from the first moment on."""
+    from the first moment on.
+    """
     with world() as found:
         until(lambda: found.service.discovery.version == 10)
         quiet = time.monotonic()  # from here on the open watch says nothing
--- a/tests/platform/test_hard_cases.py
+++ b/tests/platform/test_hard_cases.py
@@ -7,14 +7,14 @@
 import threading
 import time
 from collections.abc import Iterator
-from contextlib import contextmanager
+from contextlib import contextmanager, suppress
 from pathlib import Path
 
 import pytest
 
-from stepknot.boxes.codec import PartReply
-from stepknot.boxes.side import OutgoingAttempt
 from stepknot.interface import Outcome
+from stepknot.nodes.codec import PartReply
+from stepknot.nodes.transport import OutgoingAttempt
 from stepknot.platform.frames import Part
 from tests.broker.scripted import WAIT, until
 from tests.platform.test_nodes import connections, hold, move, outcomes
@@ -46,10 +46,8 @@
 
 
 def swallow(sock: socket.socket, data: bytes) -> None:
-    try:
+    with suppress(OSError):
         sock.sendall(data)
-    except OSError:
-        pass
 
 
 def test_descriptors_that_run_out_all_the_same_end_neither_accepting_nor_what_is_connected(
@@ -87,7 +85,8 @@
 
 def test_after_a_stall_answers_and_ends_in_the_sockets_come_before_time_outs() -> None:
     """The broker stands still past the end of all waits; meanwhile one node answered and the other one's connection
-    ended. Neither was silent."""
+    ended. Neither was silent.
+    """
     with world() as found:
         for node in found.nodes:
             node.script = hold
@@ -141,7 +140,8 @@
 
 def test_a_retry_decided_in_the_turn_in_which_the_client_left_leaves_nothing_out() -> None:
     """The module heard of the failure before it heard of the leave: its second attempt was ended under the first's
-    number, and counted out at its server for good."""
+    number, and counted out at its server for good.
+    """
     with world(nodes=4) as found:
         core, module = found.service.core, found.service.core.module
         for node in found.nodes:
@@ -169,7 +169,8 @@
 
 def full(found: World) -> tuple[socket.socket, socket.socket]:
     """s-0 is where the queue is full, from now on: a connection comes up there once the kernel tries again after there
-    is room. The listener, and who fills its queue."""
+    is room. The listener, and who fills its queue.
+    """
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
--- a/tests/platform/test_nodes.py
+++ b/tests/platform/test_nodes.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from stepknot.boxes.side import OutgoingAttempt
 from stepknot.interface import Outcome
+from stepknot.nodes.transport import OutgoingAttempt
 from stepknot.platform.frames import Part
 from stepknot.platform.nodes import Connection, Nodes
 from tests.broker.scripted import WAIT, until
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -311,7 +311,8 @@
 )
 def test_a_class_may_have_any_name(name: str, path: str) -> None:
     """Escapes in the path were not undone, and a class called like the readiness path was answered as readiness: served
-    with what no node made."""
+    with what no node made.
+    """
     with world(names={"list": name}) as found:
         client = found.client()
         client.sock.sendall(found.request(path=path))
--- a/tests/platform/test_restarts.py
+++ b/tests/platform/test_restarts.py
@@ -8,7 +8,7 @@
 import time
 from collections import Counter
 from collections.abc import Iterator
-from contextlib import contextmanager
+from contextlib import contextmanager, suppress
 from pathlib import Path
 
 from tests.broker.scripted import WAIT, Client
@@ -21,7 +21,8 @@
 class Crowd:
     """Clients that go on until they are told to stop, each on one connection at a time. As the platform has it: a
     request that crossed the end of a used connection is sent once more on a new one; a broker that refuses connections
-    is left for the next."""
+    is left for the next.
+    """
 
     def __init__(self, brokers: list[Process]) -> None:
         self.brokers, self.over = brokers, threading.Event()
@@ -139,17 +140,13 @@
             hung.script = lambda call: None  # takes what comes and answers none of it
             broker.process.send_signal(signal.SIGTERM)
             for sock in discovery.watches:
-                try:
+                with suppress(OSError):
                     sock.shutdown(socket.SHUT_RDWR)
-                except OSError:
-                    pass
             assert broker.process.wait(WAIT) == 0  # with requests that no node will answer
             hung.script = Call.answer
             for call in hung.calls[-20:]:
-                try:
+                with suppress(OSError):
                     call.close(reset=True)
-                except OSError:
-                    pass
             broker.start()
         crowd.wait_for(50)
         crowd.stop()
--- a/tests/platform/test_service.py
+++ b/tests/platform/test_service.py
@@ -28,7 +28,8 @@
 
 class Process:
     """A broker as `run` starts it, with two nodes and discovery, which it may share with others. `changes`: of what it
-    is told."""
+    is told.
+    """
 
     def __init__(
         self, folder: Path, shared: Process | None = None, name: str = "n0", **changes: Any
@@ -232,7 +233,8 @@
 
 def test_what_is_asked_late_in_the_end_is_refused_at_once(tmp_path: Path) -> None:
     """The last byte of a request comes after the time for which the front still sends: it was taken up, and cut off by
-    the kill."""
+    the kill.
+    """
     with started(tmp_path) as found:
         found.nodes[0].script = lambda call: None
         held, late = found.client(), found.client()
--- a/tests/platform/world.py
+++ b/tests/platform/world.py
@@ -172,7 +172,8 @@
 
 class Discovery(Listening):
     """Serves the list to watches. `mood`: serve, refuse (a 503), silent (accepts and says nothing), half (a line that
-    goes on and never ends), beats (empty lines after the list), empty (those alone), lost (resets the call)."""
+    goes on and never ends), beats (empty lines after the list), empty (those alone), lost (resets the call).
+    """
 
     def __init__(self, rows: list[dict[str, Any]], version: int = 10, port: int = 0) -> None:
         self.rows, self.version, self.mood = rows, version, "serve"
@@ -336,7 +337,8 @@
     **allowed: Any,
 ) -> Iterator[World]:
     """One broker; node s-N holds the shard N mod 2. `known`: it begins with the list as last had. `names`: of classes,
-    in place of those they have."""
+    in place of those they have.
+    """
     stand_ins = [Node() for _ in range(nodes)]
     rows = [row(node, number) for number, node in enumerate(stand_ins)]
     discovery = Discovery(rows)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -12,8 +12,8 @@
 import orjson
 
 from stepknot.cli.admin import ask
-from stepknot.lab.fleet import Broker, Fleet, read_ready
-from stepknot.lab.links import Links
+from stepknot.simulation.fleet import Broker, Fleet, read_ready
+from stepknot.simulation.links import Links
 
 SLOW = 30.0  # seconds for what takes a few, on a machine with much else to do
 
--- a/tests/search/test_merge.py
+++ b/tests/search/test_merge.py
@@ -8,11 +8,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stepknot.lab.engine import Shard
 from stepknot.search.aggs import MergeError, Merger, parse_aggs
 from stepknot.search.errors import ParsingError, RequestError
 from stepknot.search.merge import Target, merge, read_shard
 from stepknot.search.request import parse_search, shard_body
+from stepknot.simulation.engine import Shard
 
 pytestmark = pytest.mark.cpu_only
 
--- a/tests/lab/test_day.py
+++ b/tests/simulation/test_day.py
@@ -10,9 +10,9 @@
 from click.testing import CliRunner
 
 from stepknot.cli.main import cli
-from stepknot.lab.audit import Event, Records, audit, drains_kept, part_names
-from stepknot.lab.day import run_day
-from stepknot.lab.script import built_in, from_journal, read_script
+from stepknot.simulation.audit import Event, Records, audit, drains_kept, part_names
+from stepknot.simulation.day import run_day
+from stepknot.simulation.script import built_in, from_journal, read_script
 
 
 @pytest.fixture(scope="module")
--- a/tests/lab/test_scale_run.py
+++ b/tests/simulation/test_scale_run.py
@@ -11,9 +11,9 @@
 import msgspec
 import pytest
 
-from stepknot.lab.scale_plan import Machine, ScalePlan, needs, refusal
-from stepknot.lab.scale_run import Result
-from stepknot.lab.tap import read
+from stepknot.simulation.scale_plan import Machine, ScalePlan, needs, refusal
+from stepknot.simulation.scale_run import Result
+from stepknot.simulation.socket_recorder import read
 
 COMMAND = [
     sys.executable,
--- a/tests/lab/test_slopes.py
+++ b/tests/simulation/test_slopes.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from stepknot.lab.slopes import Point, Series, Spread, fit, line, spread
+from stepknot.simulation.slopes import Point, Series, Spread, fit, line, spread
 
 pytestmark = pytest.mark.cpu_only
 
--- a/tests/lab/test_subset_cost.py
+++ b/tests/simulation/test_subset_cost.py
@@ -5,7 +5,7 @@
 import pytest
 
 from stepknot.interface import ListKind, ListReceived, ServerState
-from stepknot.lab.subset_cost import BEGAN, SCENARIOS, Fleet, Variant, World, play
+from stepknot.simulation.subset_cost import BEGAN, SCENARIOS, Fleet, Variant, World, play
 
 pytestmark = pytest.mark.cpu_only
 
--- a/tests/lab/test_subset_model.py
+++ b/tests/simulation/test_subset_model.py
@@ -6,8 +6,16 @@
 
 import pytest
 
-from stepknot.lab.subset_baselines import WAYS, rendezvous
-from stepknot.lab.subset_model import ONE_BACK, ONE_GOES, Fleet, cold_cell, measure, troubles, views
+from stepknot.simulation.subset_baselines import WAYS, rendezvous
+from stepknot.simulation.subset_model import (
+    ONE_BACK,
+    ONE_GOES,
+    Fleet,
+    cold_cell,
+    measure,
+    troubles,
+    views,
+)
 
 pytestmark = pytest.mark.cpu_only
 
--- a/tests/subsets/following.py
+++ b/tests/subsets/following.py
@@ -36,7 +36,7 @@
         identity: str = "broker-1",
         **changes: Any,
     ) -> None:
-        values: dict[str, Any] = dict(size=4, holders=1.0, zone="a", tiers=(("b",),))
+        values: dict[str, Any] = {"size": 4, "holders": 1.0, "zone": "a", "tiers": (("b",),)}
         self.subset = Subset(
             SubsetSettings(identity, **(values | changes)),
             Shape(cells, reach, COLD_TIME),
--- a/tests/subsets/test_choice.py
+++ b/tests/subsets/test_choice.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import math
-from itertools import product
+from itertools import pairwise, product
 
 import pytest
 from hypothesis import given
@@ -44,7 +44,7 @@
         {node for node in nodes if draw(f"broker-{number}", node) < 0.1} for number in range(50)
     ]
     assert all(abs(len(each) - 200) < 5 * math.sqrt(180) for each in held)
-    common = [len(one & other) for one, other in zip(held, held[1:], strict=False)]
+    common = [len(one & other) for one, other in pairwise(held)]
     assert all(abs(each - 20) < 5 * math.sqrt(20) for each in common)
 
 
--- a/tests/subsets/test_cold.py
+++ b/tests/subsets/test_cold.py
@@ -8,9 +8,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stepknot.lab.cold import play
-from stepknot.lab.cold_tails import View, mean_and_deviation, over, pmf
 from stepknot.logic import COLD_USE
+from stepknot.simulation.cold import play
+from stepknot.simulation.cold_tails import View, mean_and_deviation, over, pmf
 from stepknot.subsets.choice import draw
 from stepknot.subsets.cold import SPREAD, cold_share
 
--- a/tests/subsets/test_config.py
+++ b/tests/subsets/test_config.py
@@ -14,7 +14,7 @@
 from stepknot.cli.main import cli
 from stepknot.config.hcl import ConfigError
 from stepknot.config.settings import load
-from stepknot.lab.fleet import settings_text
+from stepknot.simulation.fleet import settings_text
 from stepknot.subsets.model import DEFAULT_HOLDERS, DEFAULT_NEAR, DEFAULT_SIZE, SubsetSettings
 
 BLOCK = """\
--- a/tests/subsets/test_subsetting.py
+++ b/tests/subsets/test_driver.py
@@ -15,10 +15,10 @@
 import orjson
 import pytest
 
-from stepknot.broker.subsetting import MAX_HANDED, MAX_TOLD, SLICE, Subsetting
+from stepknot.broker.subset_driver import MAX_HANDED, MAX_TOLD, SLICE, Subsetting
 from stepknot.cli.serve import make
 from stepknot.config.settings import load
-from stepknot.discovery.drained import Drained
+from stepknot.discovery.drained_endpoints import Drained
 from stepknot.interface import (
     InstancesCounted,
     Limits,
@@ -29,8 +29,8 @@
     ServerState,
     Settings,
 )
-from stepknot.lab.fleet import free_ports, settings_text
 from stepknot.net.loop import Loop
+from stepknot.simulation.fleet import free_ports, settings_text
 from stepknot.subsets.model import SubsetSettings
 
 STEP = 0.0001  # seconds for which each look at the clock takes
--- a/tests/subsets/test_processes.py
+++ b/tests/subsets/test_processes.py
@@ -20,11 +20,11 @@
 import pytest
 
 from stepknot.cli.admin import ask
-from stepknot.lab.audit import Records, audit
-from stepknot.lab.day import run_day
-from stepknot.lab.fleet import Box, Fleet
-from stepknot.lab.script import Script, Step
-from stepknot.lab.tap import read
+from stepknot.simulation.audit import Records, audit
+from stepknot.simulation.day import run_day
+from stepknot.simulation.fleet import Box, Fleet
+from stepknot.simulation.script import Script, Step
+from stepknot.simulation.socket_recorder import read
 from tests.processes import Brokers
 
 CELLS, REPLICAS, SIZE = 2, 5, 2
--- a/tests/subsets/test_subset.py
+++ b/tests/subsets/test_subset.py
@@ -389,7 +389,7 @@
 
 
 def test_more_wanted_than_there_is() -> None:
-    found = Follower(cells=3, size=1000).take(FULL, CELL + [node("one", 2)]).finish()
+    found = Follower(cells=3, size=1000).take(FULL, [*CELL, node("one", 2)]).finish()
     assert len(found.view) == 21 and 1 not in found.subset.index.cells
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -640,7 +640,8 @@
 
 def test_a_server_that_stands_still_is_chosen_last_and_what_is_out_there_is_copied() -> None:
     """Three of four late queries on sockets had a part at a server that answered nothing for 120 ms and more. With a
-    queue its mean is long, and a copy after four means comes too late."""
+    queue its mean is long, and a copy after four means comes too late.
+    """
     driver = Driver(fleet=FLEET[:2])
     warm(driver, mean=0.2, out=20.0)
     still = "s0a"
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -7,19 +7,19 @@
 # From the top. A package imports from those below it only; the laboratory imports all but the command line.
 ORDER = [
     "cli",
-    "lab",
+    "simulation",
     "platform",
-    "fronts",
+    "frontends",
     "broker",
     "discovery",
-    "boxes",
+    "nodes",
     "search",
     "config",
     "net",
     "admission",
     "zones",
-    "ownership",
-    "peers",
+    "leases",
+    "membership",
     "subsets",
     "library",
 ]
@@ -77,7 +77,7 @@
 def test_decisions_of_subsystems_have_no_io_no_clock_and_no_chance_of_their_own() -> None:
     """Steps of the wall's clock, a slow disk or a full socket cannot reach what is not imported."""
     found = []
-    for package in ("ownership", "peers", "subsets", "zones"):
+    for package in ("leases", "membership", "subsets", "zones"):
         for path in (ROOT / package).glob("*.py"):
             for node in ast.walk(ast.parse(path.read_text())):
                 names = (
@@ -121,7 +121,7 @@
         "tracemalloc",
         "http",
         "stepknot.net.loop",
-        "stepknot.lab.fleet",
+        "stepknot.simulation.fleet",
         "tests.processes",
         "tests.platform.world",
     )
--- a/tests/test_cold.py
+++ b/tests/test_slow_start.py
@@ -5,7 +5,7 @@
 import pytest
 
 from stepknot.interface import ListKind
-from stepknot.lab.cold import DEMANDS, play
+from stepknot.simulation.cold import DEMANDS, play
 from tests.helpers import START, Driver, entry, make_settings
 
 pytestmark = pytest.mark.cpu_only
@@ -15,7 +15,8 @@
 @pytest.mark.parametrize("instances", [1, 3, 20, 30, 200])
 def test_no_window_gets_more_than_the_budget_and_chance(instances: int, demand: str) -> None:
     """Each instance saved a part up while it was idle, and all sent it at once; a new process began with one; a burst
-    took what was saved and, within the same window, what came in anew."""
+    took what was saved and, within the same window, what came in anew.
+    """
     for age in (0.0, 3.0) if instances < 200 else (3.0,):
         for seed in range(4 if instances < 200 else 1):
             found = play(instances, demand, age, seed, seconds=4.5)
--- a/tests/zones/test_sockets.py
+++ b/tests/zones/test_sockets.py
@@ -8,9 +8,9 @@
 import orjson
 import pytest
 
-from stepknot.lab.audit import Records, audit
-from stepknot.lab.day import run_day
-from stepknot.lab.script import Script, Step
+from stepknot.simulation.audit import Records, audit
+from stepknot.simulation.day import run_day
+from stepknot.simulation.script import Script, Step
 
 ALL = 1000
 
@@ -32,7 +32,8 @@
 @pytest.fixture(scope="module")
 def hard(tmp_path_factory: pytest.TempPathFactory) -> Path:
     """Three zones. Half of one; one cut off from two brokers for different times; one slow; one lost that returns into
-    a burst and impatient clients, with a stall, a drain and a crash elsewhere on its way back; all lost, then back."""
+    a burst and impatient clients, with a stall, a drain and a crash elsewhere on its way back; all lost, then back.
+    """
     folder: Path = tmp_path_factory.mktemp("hard")
     steps = (
         Step(1.5, "crash", 2, 1.5, zone="b"),
@@ -94,7 +95,7 @@
 
 @pytest.mark.parametrize("broker", [0, 1])
 def test_half_a_zone_and_a_slow_one_are_not_dark(hard: Path, broker: int) -> None:
-    """b only once all of it is gone; a, if at all, after that: when all are lost."""
+    """B only once all of it is gone; a, if at all, after that: when all are lost."""
     dark = [each for each in changes(hard, broker) if each["new"] == "dark"]
     order = [each["zone"] for each in dark]
     assert (
