--- /dev/null
+++ b/bench/planted_defects/library.py
@@ -0,0 +1,86 @@
+"""Planted defects of the decision library."""
+
+from bench.planted_defects.defect import PlantedDefect
+
+DEFECTS = [
+    PlantedDefect(
+        path="stepknot/logic.py",
+        original="pause = min((self.settings.rules.ask_within or math.inf) * WATCH_RETRY, RETRY_MOST)",
+        replacement="pause = self.settings.rules.ask_within * WATCH_RETRY",
+        tests=(
+            "tests/platform/test_discovery.py::test_what_a_list_takes_to_be_told_has_a_bound_that_all_its_parts_keep",
+        ),
+    ),
+    PlantedDefect(
+        path="stepknot/logic.py",
+        original="left + cost * capsule.share.luck >= cost",
+        replacement="left + cost >= cost",
+        tests=("tests/test_slow_start.py",),
+    ),
+    PlantedDefect(
+        path="stepknot/logic.py",
+        original="self.now >= self.began + rules.fall_time and",
+        replacement="True and",
+        tests=(
+            "tests/test_slow_start.py::test_a_process_that_just_began_leaves_the_share_to_the_one_before",
+        ),
+    ),
+    PlantedDefect(
+        path="stepknot/logic.py",
+        original="share = self.shares.setdefault(entry.server, Share())",
+        replacement="share = Share()",
+        tests=("tests/test_slow_start.py::test_an_entry_that_changes_brings_no_fresh_share",),
+    ),
+    PlantedDefect(
+        path="stepknot/logic.py",
+        original="not_after = began + kind.repeat_window",
+        replacement="pass",
+        tests=("tests/test_rules.py",),
+    ),
+    PlantedDefect(
+        path="stepknot/logic.py",
+        original="                deaf,\n",
+        replacement="                False,\n",
+        tests=(
+            "tests/test_failures.py::test_a_class_that_a_server_loses_while_it_answers_others_goes_elsewhere",
+        ),
+    ),
+    PlantedDefect(
+        path="stepknot/logic.py",
+        original="if not lost or capsule.answered_sent > attempt.sent:",
+        replacement="if True:",
+        tests=("tests/test_failures.py::test_a_pause_is_not_taken_for_deafness",),
+    ),
+    PlantedDefect(
+        path="stepknot/logic.py",
+        original="self.send_again(query, part, STILL_SHARE)",
+        replacement="pass",
+        tests=(
+            "tests/test_failures.py::test_a_server_that_stands_still_is_chosen_last_and_what_is_out_there_is_copied",
+        ),
+    ),
+    PlantedDefect(
+        path="stepknot/logic.py",
+        original="self.instances = max(event.instances, 1)",
+        replacement="pass",
+        tests=(
+            "tests/test_failures.py::test_the_number_of_instances_that_may_be_there_sets_each_ones_share_of_a_cold_server",
+        ),
+    ),
+    PlantedDefect(
+        path="stepknot/logic.py",
+        original="if capsule.entry.state is ServerState.LIVE:",
+        replacement="if True:",
+        tests=(
+            "tests/simulation/test_subset_cost.py::test_every_query_gets_one_final_answer_and_no_part_goes_where_it_must_not",
+        ),
+    ),
+    PlantedDefect(
+        path="stepknot/logic.py",
+        original="self.queries.pop(query.number, None)",
+        replacement="pass",
+        tests=(
+            "tests/simulation/test_subset_cost.py::test_every_query_gets_one_final_answer_and_no_part_goes_where_it_must_not",
+        ),
+    ),
+]
--- /dev/null
+++ b/bench/planted_defects/nodes.py
@@ -0,0 +1,54 @@
+"""Planted defects of nodes."""
+
+from bench.planted_defects.defect import PlantedDefect
+
+DEFECTS = [
+    PlantedDefect(
+        path="stepknot/nodes/connection_pool.py",
+        original="not link.peer_closed and link.peek() is None",
+        replacement="not link.peer_closed",
+        tests=(
+            "tests/broker/test_hard_cases.py::test_a_kept_connection_with_bytes_nobody_asked_for_is_not_used",
+        ),
+    ),
+    PlantedDefect(
+        path="stepknot/nodes/connection_pool.py",
+        original="Outcome.RESET if handed_over else Outcome.NOT_CONNECTED",
+        replacement="Outcome.NOT_CONNECTED",
+        tests=(
+            "tests/broker/test_hard_cases.py::test_a_kept_connection_closed_as_an_unsafe_part_is_written",
+        ),
+    ),
+    PlantedDefect(
+        path="stepknot/nodes/rest_transport.py",
+        original="call.exchange.abandon()  # nobody",
+        replacement="pass  # nobody",
+        tests=(
+            "tests/broker/test_hard_cases.py::test_a_client_that_hangs_up_has_its_parts_called_off",
+        ),
+    ),
+    PlantedDefect(
+        path="stepknot/nodes/codec.py",
+        original="if len(responses) != len(parts):",
+        replacement="if False:",
+        tests=(
+            "tests/broker/test_hard_cases.py::test_more_or_fewer_replies_than_parts_are_an_error_of_that_call",
+        ),
+    ),
+    PlantedDefect(
+        path="stepknot/nodes/codec.py",
+        original="        if status == 429:\n            return [PartReply(",
+        replacement="        if False:\n            return [PartReply(",
+        tests=(
+            "tests/broker/test_hard_cases.py::test_an_unsafe_part_that_was_turned_away_goes_elsewhere",
+        ),
+    ),
+    PlantedDefect(
+        path="stepknot/nodes/codec.py",
+        original="if statuses == {429}:",
+        replacement="if False:",
+        tests=(
+            "tests/broker/test_hard_cases.py::test_an_unsafe_part_that_was_turned_away_goes_elsewhere",
+        ),
+    ),
+]
