--- a/bench/traces.py
+++ b/bench/traces.py
@@ -17,8 +17,8 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from bench import trace_packages  # noqa: E402
-from bench.trace_packages.trace import Trace  # noqa: E402
+from bench import trace_packages
+from bench.trace_packages.trace import Trace
 
 
 def package_names() -> list[str]:
