--- /dev/null
+++ b/bench/trace_packages/zones.py
@@ -0,0 +1,148 @@
+"""Seeded runs of zones: losses, partial losses, recoveries, relapses, endpoint lists, overload, clock steps."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import replace
+
+from bench.trace_packages.trace import Trace
+from stepknot.interface import Outcome, ServerEntry, ServerState
+from stepknot.zones.model import Bounds, ZoneSettings, derive
+from stepknot.zones.policy import Zones
+
+EXPECTED = "6072d0c567a429c6113e9e846aadb24f514f82c84910c4caa1b2a233a929f249"
+SEEDS = range(10)
+PHASES = 14
+TICK = 0.05
+OTHER_OUTCOMES = (Outcome.CANCELLED, Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.ERROR)
+SETTINGS = (
+    ZoneSettings(""),
+    ZoneSettings("a"),
+    ZoneSettings("a", (("a", "b"),)),
+    ZoneSettings("b", prefer_near=False),
+    ZoneSettings("a", bounds=Bounds(spill=1.2, step=0.8, first=0.1, calm=4.0, trial=0.5)),
+)
+
+
+def record(trace: Trace) -> None:
+    """Play all runs."""
+    for seed in SEEDS:
+        _Run(trace, seed).play()
+    for zones in (1, 2, 3, 10, 50):
+        bounds = derive(Bounds(), zones, 0.1, 8.0, 1.0)
+        trace.add(bounds.spill, bounds.near, bounds.step, bounds.first)
+
+
+class _Run:
+    """One broker among zones that are lost and return."""
+
+    def __init__(self, trace: Trace, seed: int) -> None:
+        self.trace, self.rng = trace, random.Random(seed)
+        self.names = "abc" if seed % 2 else "ab"
+        settings = SETTINGS[seed % len(SETTINGS)]
+        self.zones = Zones(settings, 0.1, 8.0, 1.0, seed)
+        self.now = 100.0
+        self.entries = [
+            ServerEntry(f"{name}{number}", name, 0, ServerState.LIVE)
+            for name in self.names
+            for number in range(5)
+        ]
+        self.down: set[str] = set()
+        self.noisy: set[str] = set()
+        self.zones.take_list(self.now, self.entries)
+
+    def play(self) -> None:
+        """Warm up, then phases of random trouble, then all is well for a while."""
+        self.run(8.0, 100)
+        for _ in range(PHASES):
+            self.disturb()
+            self.run(self.rng.uniform(1.0, 4.0), self.rng.choice([40, 100, 100, 250]))
+        self.down.clear()
+        self.noisy.clear()
+        self.zones.take_list(self.now, self.entries)
+        self.run(6.0, 60)
+
+    def disturb(self) -> None:
+        """Change what is lost, listed, noisy, or the clock."""
+        rng, name = self.rng, self.rng.choice(self.names)
+        match rng.randrange(10):
+            case 0 | 1 | 2:
+                self.down.add(name)
+            case 3 | 4:
+                self.down.discard(name)
+            case 5:
+                self.down ^= {f"{name}{number}" for number in range(rng.randrange(1, 5))}
+            case 6:
+                listed = [each for each in self.entries if each.zone != name]
+                self.zones.take_list(self.now, listed)
+            case 7:
+                self.down.discard(name)
+                self.entries = [
+                    replace(each, up_since=self.now) if each.zone == name else each
+                    for each in self.entries
+                ]
+                self.zones.take_list(self.now, self.entries)
+            case 8:
+                self.noisy ^= {name}
+            case 9:
+                self.now += rng.choice([-5.0, 30.0])
+
+    def run(self, seconds: float, rate: float) -> None:
+        """Queries of several worths at a rate."""
+        rng = self.rng
+        until = self.now + seconds
+        while self.now < until:
+            self.now += TICK
+            for _ in range(int(rate * TICK)):
+                parts = rng.choice([1, 1, 1, 4])
+                worth = rng.choice([1.0, 4.0, 16.0])
+                advice = self.zones.admit(self.now, worth, parts, rng.random() < 0.2)
+                self.trace.add(advice)
+                if advice is None or rng.random() < 0.3:
+                    for _ in range(parts):
+                        self.part()
+            if rng.random() < 0.2:
+                self.check_health()
+            self.changes()
+        self.views()
+
+    def part(self) -> None:
+        """Place one part and end its attempt."""
+        rng = self.rng
+        only = rng.choice([self.names, self.names, self.names, "b", "ba"])
+        candidates = [each for each in self.entries if each.zone in only]
+        places = self.zones.narrow(self.now, candidates, rng.random() < 0.8, rng.random() < 0.1)
+        self.trace.add(len(places), *places)
+        if not places:
+            return
+        entry = candidates[rng.choice(places)]
+        self.zones.sent(self.now, entry.server)
+        self.zones.settle()
+        outcome, elapsed = Outcome.SERVED, rng.uniform(0.005, 0.02)
+        if entry.zone in self.down or entry.server in self.down:
+            outcome = rng.choice([Outcome.NOT_CONNECTED, Outcome.CANCELLED, Outcome.TIMED_OUT])
+            elapsed = rng.choice([0.001, 0.5])
+        elif entry.zone in self.noisy and rng.random() < 0.5:
+            outcome, elapsed = rng.choice(OTHER_OUTCOMES), rng.choice([0.01, 0.3])
+        self.zones.ended(self.now, entry.server, outcome, elapsed)
+
+    def check_health(self) -> None:
+        """A health check of some server, or of one that is not listed."""
+        rng = self.rng
+        server = rng.choice([*(each.server for each in self.entries), "unknown"])
+        way = {"a": 0.001, "b": 0.01, "c": 0.1}.get(server[0], 1.0)
+        self.zones.probed(self.now, server, way * rng.uniform(0.8, 2.0), rng.random() < 0.9)
+
+    def changes(self) -> None:
+        """Changes of state, as they are logged."""
+        for change in self.zones.take_changes():
+            self.trace.add(change.zone, change.old, change.new, change.why)
+            for name in ("failing", "samples", "boxes", "relapses", "ramp"):
+                self.trace.add(change.evidence[name])
+
+    def views(self) -> None:
+        """What operators see."""
+        self.trace.add(self.zones.disturbed(), self.zones.bounds.spill, self.zones.shed_parts)
+        for view in self.zones.views(self.now):
+            self.trace.add(view.zone, view.state, view.tier, view.boxes, view.rate, view.had)
+            self.trace.add(view.allowed, view.ramp, view.failing, view.failures, view.why)
