--- /dev/null
+++ b/bench/trace_packages/broker.py
@@ -0,0 +1,441 @@
+"""Seeded runs of the broker's core over scripted nodes on a virtual clock, and of clients' queries on it.
+
+What counts: all that the core hands to the transport, in its order and with its time, each query's end,
+the values of the log's lines, and the counters at the end.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from functools import partial
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+
+import orjson
+
+from bench.trace_packages.trace import Trace
+from stepknot import interface as api
+from stepknot.broker.core import Ask, Core, QueryPart, Result
+from stepknot.broker.queries import Client, Party, Queries
+from stepknot.config.settings import load
+from stepknot.net.loop import Loop
+from stepknot.nodes.codec import PartReply, SearchPart, WritePart
+from stepknot.search.errors import RequestError
+from stepknot.search.request import parse_search
+from stepknot.search.writes import Write
+from stepknot.zones.model import ZoneSettings
+from stepknot.zones.policy import Zones
+
+EXPECTED = "92d1afcdff47f93449efb7c1f179afbde0dab33dc5bda20625142328e9296852"
+
+START = 1000.0
+RULES = api.Rules(0.5, 0.2, 5.0, 3.0, 1.0, 5.0, 4.0, 10.0, 0.3)
+LIMITS = api.Limits(3, True, True, True, True, 1.0, 5.0)
+CLASSES = {
+    "all": api.QueryClass("all", 0.3, 1.0, 1.0),
+    "some": api.QueryClass("some", 0.3, 1.0, 2.0, 0.2, floor=0.5, partial_value=0.9),
+    "keyed": api.QueryClass("keyed", 0.3, 1.0, 2.0, effect=api.Effect.KEYED, repeat_window=0.5),
+    "unsafe": api.QueryClass("unsafe", 0.3, 1.0, 2.0, effect=api.Effect.UNSAFE),
+    "steps": api.QueryClass(
+        "steps", 0.3, 1.0, 3.0, floor=0.5, partial_value=0.8, second_step_parts=2
+    ),
+}
+CELLS, COPIES = 4, 3
+WEIGHTS = (0.8, 0.05, 0.04, 0.03, 0.03, 0.05)
+OUTCOMES = (
+    api.Outcome.SERVED,
+    api.Outcome.ERROR,
+    api.Outcome.REJECTED,
+    api.Outcome.NOT_CONNECTED,
+    api.Outcome.RESET,
+    None,  # no reply comes at all
+)
+
+
+class VirtualNetwork:
+    """Waiting takes no time: the clock goes on instead."""
+
+    def __init__(self) -> None:
+        self.now = START
+
+    def clock(self) -> float:
+        """The virtual time in seconds."""
+        return self.now
+
+    def poll(self, timeout: float) -> list[tuple[int, int]]:
+        """Nothing ever comes by a socket."""
+        self.now += timeout
+        return []
+
+    def wake(self) -> None:
+        """Nobody waits."""
+
+
+class ScriptedNodes:
+    """The transport: replies come by seeded chance, and all that the core asks for goes into the trace."""
+
+    def __init__(self, loop: Loop, trace: Trace, seed: int, answer: Callable[[Any], Any]) -> None:
+        self.loop, self.trace, self.rng, self.answer = loop, trace, random.Random(seed), answer
+        self.on_reply: Callable[[Any, PartReply, dict[str, float]], None]
+        self.sent_at: dict[Any, tuple[float, str]] = {}
+        self.failing: set[str] = set()
+
+    def send(self, server: str, attempts: list[Any]) -> int:
+        """Each attempt's reply is planned; the number of calls is that of full threes."""
+        self.trace.add("send", self.loop.now, server, len(attempts))
+        for attempt in attempts:
+            self.trace.add(attempt.name, attempt.wait, attempt.not_after, repr(attempt.request))
+            attempt.call = self
+            self.sent_at[attempt] = (self.loop.now, server)
+            outcome = self.rng.choices(OUTCOMES, WEIGHTS)[0]
+            if server.startswith("dark") or server in self.failing:
+                outcome = api.Outcome.NOT_CONNECTED
+            delay = self.rng.expovariate(20.0) + 0.002
+            if outcome is not None:
+                self.loop.call_later(delay, partial(self.reply, attempt, outcome))
+        return (len(attempts) + 2) // 3
+
+    def reply(self, attempt: Any, outcome: api.Outcome) -> None:
+        """The planned end, unless it was cancelled."""
+        if self.sent_at.pop(attempt, None) is None:
+            return
+        attempt.call = None
+        payload = self.answer(attempt.request) if outcome is api.Outcome.SERVED else None
+        reason = "scripted" if self.rng.random() < 0.5 else ""
+        load = {"inflight": float(self.rng.randrange(5)), "util": self.rng.random()}
+        self.on_reply(attempt, PartReply(outcome, payload, reason), load)
+
+    def cancel(self, attempt: Any) -> None:
+        """Nobody waits for it any more."""
+        found = self.sent_at.pop(attempt, None)
+        self.trace.add("cancel", self.loop.now, attempt.name, found is not None)
+        attempt.call = None
+
+    def unsent(self, attempt: Any) -> bool:
+        """Whether it was sent a moment ago only."""
+        at, _ = self.sent_at.get(attempt, (0.0, ""))
+        return self.loop.now - at < 0.004
+
+    def withdraw(self, server: str) -> None:
+        """What was sent a moment ago ends as not connected."""
+        self.trace.add("withdraw", self.loop.now, server)
+        for attempt, (at, to) in list(self.sent_at.items()):
+            if to == server and self.loop.now - at < 0.004:
+                self.reply(attempt, api.Outcome.NOT_CONNECTED)
+
+    def probe(self, server: str, on_end: Callable[[api.Outcome, dict[str, float]], None]) -> None:
+        """Answered after a moment, or not connected."""
+        self.trace.add("probe", self.loop.now, server)
+        dead = server.startswith("dark") or server in self.failing or self.rng.random() < 0.1
+        outcome = api.Outcome.NOT_CONNECTED if dead else api.Outcome.SERVED
+        load = {} if dead else {"inflight": float(self.rng.randrange(5))}
+        self.loop.call_later(0.002 + 0.02 * self.rng.random(), partial(on_end, outcome, load))
+
+    def close_idle(self, server: str) -> None:
+        """Noted."""
+        self.trace.add("close", self.loop.now, server)
+
+
+def entry(
+    number: int, state: api.ServerState = api.ServerState.LIVE, up_since: float = 0.0
+) -> api.ServerEntry:
+    """The node of this number: its cell and zone follow from it."""
+    zone = "abc"[number // CELLS]
+    return api.ServerEntry(f"n{number}{zone}", zone, number % CELLS, state, 1.0, up_since)
+
+
+def log_to(trace: Trace) -> Callable[..., None]:
+    """A log whose lines' values count, without the names."""
+
+    def log(_event: str, **fields: Any) -> None:
+        trace.add(*(value for value in fields.values() if not isinstance(value, BaseException)))
+
+    return log
+
+
+def accept(payload: Any) -> Any:
+    """Some answers are none."""
+    if payload % 17 == 0:
+        raise ValueError(f"{payload} is no answer")
+    return payload
+
+
+class Day:
+    """Seeded queries on one core, with clients that leave and a list that changes."""
+
+    def __init__(self, trace: Trace, seed: int, zoned: bool, **bounds: Any) -> None:
+        self.trace, self.rng = trace, random.Random(seed)
+        self.network = VirtualNetwork()
+        self.loop = Loop(self.network.clock, random.Random(seed + 1), self.network)  # type: ignore[arg-type]
+        self.nodes = ScriptedNodes(
+            self.loop, trace, seed + 2, lambda request: self.rng.randrange(1000)
+        )
+        settings = api.Settings(
+            2, CELLS, 1, 3, CLASSES, RULES, LIMITS, must_ask=not zoned, tick=0.005
+        )
+        zones = Zones(ZoneSettings("a"), 0.2, 5.0, 0.3, seed) if zoned else None
+        self.core = Core(
+            self.loop,
+            settings,
+            seed + 3,
+            self.nodes,
+            log_to(trace),
+            zones=zones,
+            promised={"gold": 0.2, "iron": 0.3} if zoned else None,
+            watch=lambda: trace.add("watch", self.loop.now),
+            name="traced",
+            **bounds,
+        )
+        entries = tuple(entry(number) for number in range(CELLS * COPIES))
+        self.core.take_list(api.ListReceived(api.ListKind.CACHED, entries))
+        self.asked = 0
+
+    def play(self, seconds: float, rate: float) -> None:
+        """Queries come until the end, and what is held then is given up."""
+        end = START + seconds
+        self.loop.call_at(START, partial(self.arrive, rate, end))
+        for number in range(1, 6):
+            self.loop.call_at(START + seconds * number / 6, partial(self.change, number))
+        self.loop.call_at(end, self.core.give_up_all)
+        self.loop.call_at(end + 1.0, self.loop.stop)
+        self.loop.run()
+        core = self.core
+        for counts in (core.counts, core.class_counts, core.tenant_counts):
+            for key, count in sorted(counts.items()):
+                self.trace.add(repr(key), count)
+        self.trace.add(len(core.held), len(core.parts), len(core.out), len(core.expiries))
+
+    def arrive(self, rate: float, end: float) -> None:
+        """Some queries in one turn, and the next ones later."""
+        for _ in range(self.rng.choice((1, 1, 1, 2, 5))):
+            self.start_query()
+        if self.loop.now < end:
+            self.loop.call_later(self.rng.expovariate(rate), partial(self.arrive, rate, end))
+
+    def start_query(self) -> None:
+        """One query of a random class; some clients leave while it runs."""
+        rng = self.rng
+        self.asked += 1
+        name = rng.choice(list(CLASSES))
+        shards = rng.sample(range(8), rng.randrange(1, 5))
+        ask = Ask(
+            name,
+            self.loop.now + rng.choice((0.05, 0.3, 1.0)),
+            [self.part(shard, 1 / len(shards)) for shard in shards],
+            self.second_step if name == "steps" else None,
+            rng.choice(("", "gold", "iron")),
+            f"k{self.asked}",
+            f"q{self.asked}",
+            rng.choice((0.0, 0.01)),
+            rng.random() < 0.1,
+        )
+        self.loop.spawn(self.wait_for(ask), "client")
+        self.core.ask(ask)
+        if rng.random() < 0.1:
+            self.loop.call_later(rng.expovariate(10.0), partial(self.core.gone, ask))
+
+    def part(self, shard: int, weight: float) -> QueryPart:
+        """A part whose request is its number."""
+        return QueryPart(shard, weight, self.rng.randrange(10**6), accept, 0.005)
+
+    def second_step(self, parts: list[QueryPart]) -> list[QueryPart]:
+        """One part for each that was served, now and then none."""
+        served = [each for each in parts if each.served]
+        if self.rng.random() < 0.2:
+            return []
+        return [self.part(each.shard, 1 / len(served)) for each in served]
+
+    def wait_for(self, ask: Ask) -> Any:
+        """The query's end goes into the trace."""
+        result: Result | None = yield from ask.done.wait()
+        self.trace.add("end", self.loop.now, ask.name, ask.step, ask.first_whole)
+        if result is not None:
+            self.trace.add(result.status, result.whole, result.retry_after)
+        for part in (*ask.first, *ask.fetch):
+            self.trace.add(part.shard, part.served, part.answer, part.server)
+            self.trace.add(part.attempts, part.reason)
+
+    def change(self, number: int) -> None:
+        """The list changes: a node drains, one is gone, one starts anew; a zone fails and returns."""
+        state = api.ServerState
+        if number == 1:
+            rows = (entry(1, state.DRAINING), entry(6, state.GONE))
+            self.core.take_list(api.ListReceived(api.ListKind.CHANGES, rows))
+        elif number == 2:
+            self.nodes.failing = {entry(each).server for each in range(CELLS)}
+            self.core.note_instances(1)
+        elif number == 3:
+            self.nodes.failing = set()
+            rows = (entry(6, up_since=self.loop.now - 1.0), entry(1, state.GONE))
+            self.core.take_list(api.ListReceived(api.ListKind.CHANGES, rows))
+        elif number == 4:
+            self.core.post(api.ListReceived(api.ListKind.FAILED))
+        else:
+            rows = tuple(entry(each) for each in range(2, CELLS * COPIES))
+            self.core.take_list(api.ListReceived(api.ListKind.FULL, rows))
+
+
+def answer_rest(request: Any) -> Any:
+    """What a node answers to a search or a write, as the codec hands it on."""
+    if isinstance(request, WritePart):
+        lines = [orjson.loads(line) for line in request.lines.split(b"\n") if line]
+        actions = [line for line in lines if next(iter(line)) in ("index", "delete", "create")]
+        return {"items": actions}
+    assert isinstance(request, SearchPart)
+    body = orjson.loads(request.body)
+    wanted = body["query"].get("ids", {}).get("values")
+    rows = []
+    for name in wanted or [f"s{request.shard}-{each}" for each in range(min(body["size"], 3))]:
+        row: dict[str, Any] = {"_index": request.index, "_id": name, "_score": 1.0}
+        if "sort" in body:
+            row["sort"] = [request.shard for _ in body["sort"]]
+        if body.get("_source") is not False:
+            row["_source"] = {"title": name}
+        rows.append(row)
+    if wanted and request.shard % 5 == 4:
+        rows = [*rows, *rows]
+    return {
+        "took": 0,
+        "timed_out": False,
+        "status": 200,
+        "hits": {"total": {"value": 4, "relation": "eq"}, "max_score": 1.0, "hits": rows},
+        "_shards": {"total": 1, "successful": 1, "skipped": 0, "failed": 0},
+    }
+
+
+class Clients:
+    """Searches, reads and writes by way of the settings' classes and indices."""
+
+    def __init__(self, trace: Trace, seed: int) -> None:
+        self.trace, self.rng = trace, random.Random(seed)
+        self.network = VirtualNetwork()
+        self.loop = Loop(self.network.clock, random.Random(seed + 1), self.network)  # type: ignore[arg-type]
+        self.nodes = ScriptedNodes(self.loop, trace, seed + 2, answer_rest)
+        config = load(Path(__file__).parents[2] / "deploy/broker.hcl")
+        self.core = Core(self.loop, config.settings, seed + 3, self.nodes, log_to(trace))
+        self.queries = Queries(config, self.core, SimpleNamespace())  # type: ignore[arg-type]
+        entries = tuple(entry(number) for number in range(CELLS * COPIES))
+        self.core.take_list(api.ListReceived(api.ListKind.FULL, entries))
+
+    def play(self, count: int) -> None:
+        """So many clients come one after the other."""
+        for number in range(count):
+            work = (self.search, self.read, self.write, self.several)[number % 4]
+            start = partial(self.loop.spawn, self.guarded(work, number), "client")
+            self.loop.call_at(START + 0.02 * number, start)
+        self.loop.call_at(START + 0.02 * count + 5.0, self.loop.stop)
+        self.loop.run()
+        for key, total in sorted(self.core.counts.items()):
+            self.trace.add(key, total)
+
+    def guarded(self, work: Callable[[int, Any], Any], number: int) -> Any:
+        """What a front does: an error is an answer, and some clients leave."""
+
+        def hang_up(gone: Callable[[], None]) -> None:
+            if self.rng.random() < 0.1:
+                self.loop.call_later(0.03, gone)
+
+        yield from self.caught(work(number, hang_up))
+
+    def caught(self, steps: Any) -> Any:
+        """These steps, an error of theirs noted."""
+        try:
+            yield from steps
+        except (RequestError, ValueError) as error:
+            self.trace.add("error", str(error))
+
+    def client(self, number: int) -> Client:
+        """A client by its headers."""
+        headers = {"x-opaque-id": f"c{number}"} if number % 3 else {}
+        if number % 29 == 0:
+            headers["x-query-class"] = "lookup"
+        if number % 37 == 0:
+            headers["x-query-class"] = "missing"
+        self.trace.add(repr(self.queries.level("search", headers)))
+        seconds = 0.2 if number % 5 == 0 else None
+        return self.queries.client(headers, seconds, self.loop.now - 0.01 if number % 2 else None)
+
+    def note(self, outcome: Any) -> None:
+        """A query's end, its parts and its page."""
+        if outcome.result is None:
+            self.trace.add("gone")
+            return
+        self.trace.add(outcome.result.status, outcome.result.whole, outcome.result.retry_after)
+        found = outcome.coverage()
+        self.trace.add(found.asked, found.answered, found.whole, len(found.missing))
+        self.trace.add(outcome.took, outcome.in_time, outcome.answered, outcome.lost)
+        for part, target in zip(outcome.parts, outcome.targets, strict=True):
+            self.trace.add(target.index, target.shard, part.served, part.reason, part.attempts)
+        if outcome.merged is not None:
+            self.trace.add(repr([(target.shard, row) for target, row in outcome.merged.rows]))
+        for (target, name), row in (outcome.documents or {}).items():
+            self.trace.add(target.shard, name, repr(row))
+
+    def search(self, number: int, hang_up: Any) -> Any:
+        """A page over all shards, by score or sorted, now and then by routing or without documents."""
+        body: dict[str, Any] = {"query": {"match": {"title": "x"}}, "size": number % 7}
+        if number % 3 == 0:
+            body["sort"] = [{"year": "asc"}]
+        if number % 11 == 0:
+            body["_source"] = False
+        search = parse_search(body, {}, 1000)
+        indices = self.queries.indices.select("reports" if number % 2 else "*")
+        targets = self.queries.targets(
+            indices,
+            f"r{number},s" if number % 8 == 0 else "",
+            frozenset({0, 1, 2}) if number % 12 == 4 else None,
+        )
+        operation = "count" if number % 16 == 0 else "search"
+        self.note(
+            (
+                yield from self.queries.search(
+                    search, targets, operation, self.client(number), f"k{number % 4}", hang_up
+                )
+            )
+        )
+
+    def read(self, number: int, hang_up: Any) -> Any:
+        """Documents by their ids."""
+        index = self.queries.indices.get("reports")
+        names = [f"d{number + each}" for each in range(1 + number % 6)]
+        wanted = [(self.queries.shard(index, name), name) for name in names]
+        source = number % 2 == 0
+        self.note(
+            (
+                yield from self.queries.documents(
+                    wanted, source, "mget", self.client(number), hang_up
+                )
+            )
+        )
+
+    def write(self, number: int, hang_up: Any) -> Any:
+        """A bulk of some documents."""
+        index = self.queries.indices.get("reports")
+        writes = [
+            Write("index", self.queries.shard(index, name), name, "", {"title": name})
+            for name in (
+                f"w{number + each}-{self.queries.new_id()}" for each in range(1 + number % 5)
+            )
+        ]
+        outcome, places = yield from self.queries.write(
+            writes, "bulk", self.client(number), number % 3 == 0, hang_up
+        )
+        self.note(outcome)
+        self.trace.add(repr([(target.shard, place) for target, place in places]))
+
+    def several(self, number: int, hang_up: Any) -> Any:
+        """Two of one client side by side."""
+        party = Party(self.loop, hang_up)
+        party.start(self.caught(self.search(number, party.hang_up)))
+        party.start(self.caught(self.read(number + 1, party.hang_up)))
+        yield from party.wait()
+
+
+def record(trace: Trace) -> None:
+    """Two days of the core, one with bounds that are reached, and a run of clients' queries."""
+    Day(trace, 11, zoned=True).play(10.0, 40.0)
+    Day(trace, 23, zoned=False).play(6.0, 40.0)
+    Day(trace, 37, zoned=False, most_held=6, most_open=25).play(4.0, 60.0)
+    Clients(trace, 51).play(400)
