--- a/bench/membership.py
+++ b/bench/membership.py
@@ -17,7 +17,7 @@
 import click
 from hdrh.histogram import HdrHistogram
 
-from stepknot.membership.model import PeerSettings, State
+from stepknot.membership.model import MembershipSettings, State
 from stepknot.simulation.membership_baselines import BASELINES
 from stepknot.simulation.membership_model import Make, Model, Shipped
 
@@ -103,7 +103,7 @@
 
 def play(maker: str, trouble: str, size: int, seed: int, seconds: float) -> Result:
     result = Result(maker, trouble, size, seed, seconds)
-    model = Model(size, seed, PeerSettings(), MAKERS[maker])
+    model = Model(size, seed, MembershipSettings(), MAKERS[maker])
     model.run(1.0)
     started = healing(model)
     if trouble == "start":
--- a/bench/planted_defects/membership.py
+++ b/bench/planted_defects/membership.py
@@ -12,7 +12,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/membership/members.py",
+        path="stepknot/membership/protocol.py",
         original="lacking.append(word.identity)",
         replacement="pass",
         tests=(
@@ -28,7 +28,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/membership/members.py",
+        path="stepknot/membership/protocol.py",
         original='            self.emit(\n                now, sender.address, wire.Need(prints=b"".join(lacking[: wire.WORDS])), self.bulk\n            )\n',
         replacement='            self.emit(now, sender.address, wire.Need(prints=b"".join(lacking[:0])), self.bulk)\n',
         tests=(
@@ -36,7 +36,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/membership/members.py",
+        path="stepknot/membership/protocol.py",
         original="if room < 0 or count == wire.WORDS:",
         replacement="if count == wire.RECORDS:",
         tests=(
@@ -44,7 +44,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/membership/members.py",
+        path="stepknot/membership/protocol.py",
         original="not self.isolated and self.agrees(now, watched,",
         replacement="self.agrees(now, watched,",
         tests=(
@@ -52,7 +52,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/membership/members.py",
+        path="stepknot/membership/protocol.py",
         original="if sign.heard >= 0:\n                watched.note(",
         replacement="if False:\n                watched.note(",
         tests=(
@@ -60,7 +60,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/membership/members.py",
+        path="stepknot/membership/protocol.py",
         original="if beat.held >= 0:",
         replacement="if False:",
         tests=(
@@ -68,7 +68,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/membership/members.py",
+        path="stepknot/membership/protocol.py",
         original="watched.shift(gap)",
         replacement="pass",
         tests=(
@@ -84,13 +84,13 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/membership/members.py",
+        path="stepknot/membership/protocol.py",
         original="if dead:\n",
         replacement="if False:\n",
         tests=("tests/membership/test_decisions.py::test_the_dead_are_called_now_and_then",),
     ),
     PlantedDefect(
-        path="stepknot/membership/members.py",
+        path="stepknot/membership/protocol.py",
         original="if missing:\n",
         replacement="if False:\n",
         tests=(
@@ -98,7 +98,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/membership/members.py",
+        path="stepknot/membership/protocol.py",
         original="if apart > settings.tombstone / 2:",
         replacement="if False:",
         tests=(
@@ -106,7 +106,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/membership/members.py",
+        path="stepknot/membership/protocol.py",
         original="most = sum(counts) - counts[State.LEFT]",
         replacement="most = sum(counts[:State.DEAD])",
         tests=(
@@ -130,7 +130,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/membership/members.py",
+        path="stepknot/membership/protocol.py",
         original='            self.step_aside(\n                now,\n                f"another process took this name: epoch {record.epoch} at "\n                f"{record.host}:{record.port}",\n',
         replacement='            str(\n                f"another process took this name: epoch {record.epoch} at "\n                f"{record.host}:{record.port}"\n',
         tests=(
@@ -138,9 +138,9 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/membership/members.py",
-        original="elif not self.joined or record.state in GONE",
-        replacement="elif record.state in GONE",
+        path="stepknot/membership/protocol.py",
+        original="elif not self.joined or record.state in ABSENT_STATES",
+        replacement="elif record.state in ABSENT_STATES",
         tests=(
             "tests/membership/test_model.py::test_a_restart_with_a_clock_set_back_takes_an_epoch_above_the_old_one",
         ),
@@ -184,7 +184,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/membership/members.py",
+        path="stepknot/membership/protocol.py",
         original="wire.Ask(names), self.question_borrow)",
         replacement="wire.Ask(names), ANSWERS)",
         tests=(
@@ -192,7 +192,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/membership/members.py",
+        path="stepknot/membership/protocol.py",
         original="max(QUESTION_LEAVES * self.bulk, -0.5)",
         replacement="0.0",
         tests=(
@@ -200,7 +200,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/membership/members.py",
+        path="stepknot/membership/protocol.py",
         original="            self.tell(\n                now, asker, [self.sign_of(now, name) for name in known[: wire.ASKED]], borrow=0.0\n            )\n",
         replacement="            self.tell(now, asker, [self.sign_of(now, name) for name in known[: wire.ASKED]])\n",
         tests=(
@@ -208,7 +208,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/membership/members.py",
+        path="stepknot/membership/protocol.py",
         original="                    now, sign.name, reply=True\n",
         replacement="                    now, sign.name, reply=True, borrow=0.0\n",
         tests=(
@@ -232,7 +232,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/membership/members.py",
+        path="stepknot/membership/protocol.py",
         original="            now,\n            sender.address,\n            [self.table.records[sender.name], self.own, *first],\n            ANSWERS,\n            whole=True,\n",
         replacement="            now, sender.address, [self.table.records[sender.name], self.own, *first], whole=True\n",
         tests=(
--- a/bench/scale_members.py
+++ b/bench/scale_members.py
@@ -15,8 +15,8 @@
 
 from scale_report import BROKERS, Effort, Finding, Gathered, Note, bytes_of
 
-from stepknot.membership.members import Members
-from stepknot.membership.model import PeerSettings, Record, State
+from stepknot.membership.model import MembershipSettings, Record, State
+from stepknot.membership.protocol import MembershipProtocol
 from stepknot.simulation.membership_model import Make, Model, Shipped
 from stepknot.simulation.slopes import Series
 
@@ -59,7 +59,8 @@
     """As `Model.settled`, which compares all names, after a look at the counts alone."""
     count = len(model.up())
     return all(
-        each.table.counts[State.ALIVE] == count == len(each.table.here) for each in members(model)
+        each.table.counts[State.ALIVE] == count == len(each.table.present)
+        for each in members(model)
     ) and (model.settled())
 
 
@@ -190,7 +191,7 @@
     """Members that hold each other to be alive from the start, with nothing left to tell."""
     records = [record(number) for number in range(size)]
 
-    def make(settings: PeerSettings, own: Record, seed: int) -> Timed:
+    def make(settings: MembershipSettings, own: Record, seed: int) -> Timed:
         member = Timed(settings, record(int(own.name[1:]), State.JOINING), seed)
         member.joined = True
         member.become(-math.inf, state=State.ALIVE, why="it is settled")
@@ -204,13 +205,13 @@
 
 
 def play_start(gathered: Gathered, size: int, seed: int) -> Iterator[Note]:
-    run = Run(gathered, size, Model(size, seed, PeerSettings(), Timed))
+    run = Run(gathered, size, Model(size, seed, MembershipSettings(), Timed))
     run.start()
     yield from run.notes(seed)
 
 
 def play_settled(gathered: Gathered, size: int, seed: int) -> Iterator[Note]:
-    run = Run(gathered, size, Model(size, seed, PeerSettings(), make_settled(size)))
+    run = Run(gathered, size, Model(size, seed, MembershipSettings(), make_settled(size)))
     run.quiet()
     run.crash()
     if size <= CUTS_UP_TO:
@@ -226,15 +227,15 @@
             size, _ = bytes_of(lambda count=count: table_of(count))  # type: ignore[misc]
             gathered.add("memory of one member's table", "bytes", count, size)
     yield from gathered.series("members")
-    kept = len(table_of(BROKERS, PeerSettings().most).table.records)
+    kept = len(table_of(BROKERS, MembershipSettings().most).table.records)
     yield Note(
-        f"members: as shipped a table keeps {kept} records of {BROKERS} members ({PeerSettings().most}, those "
-        f"that died within {PeerSettings().tombstone:.0f} s among them); its memory is measured with {ROOM}"
+        f"members: as shipped a table keeps {kept} records of {BROKERS} members ({MembershipSettings().most}, those "
+        f"that died within {MembershipSettings().tombstone:.0f} s among them); its memory is measured with {ROOM}"
     )
 
 
-def table_of(count: int, most: int = ROOM) -> Members:
-    made = Members(PeerSettings(most=most), record(0, State.JOINING), 1)
+def table_of(count: int, most: int = ROOM) -> MembershipProtocol:
+    made = MembershipProtocol(MembershipSettings(most=most), record(0, State.JOINING), 1)
     for number in range(1, count):
         made.put(1.0, record(number), "told")
     return made
--- a/bench/trace_packages/membership.py
+++ b/bench/trace_packages/membership.py
@@ -9,10 +9,10 @@
 import orjson
 
 from bench.trace_packages.trace import Trace
-from stepknot.broker.membership_driver import Peering
+from stepknot.broker.membership_driver import MembershipDriver
 from stepknot.config.membership import Peers
 from stepknot.membership import wire
-from stepknot.membership.model import Change, Counts, PeerSettings, Record, State
+from stepknot.membership.model import Change, Counts, MembershipSettings, Record, State
 from stepknot.simulation.membership_model import Address, Make, Model, Shipped
 from stepknot.simulation.membership_search import Day
 
@@ -97,7 +97,7 @@
 
 def play_fleet(trace: Trace) -> None:
     """Twelve members: the rings name some; a crash, a leave, a pause, a split, a name that is taken over."""
-    model = Model(12, 5, PeerSettings(tombstone=30.0), recording(trace))
+    model = Model(12, 5, MembershipSettings(tombstone=30.0), recording(trace))
     model.run(12.0)
     model.kill("b1")
     model.leave("b2")
@@ -160,11 +160,13 @@
     """Well-formed messages without sense, and malformed ones, to the broker's driver; its view and metrics."""
     for seed in range(9):
         chance, loop = random.Random(seed), StillLoop(trace)
-        settings = PeerSettings(
+        settings = MembershipSettings(
             most=12, tombstone=60.0, configured=5, seeds=(("127.0.0.1", 1), ("127.0.0.1", 2))
         )
-        peers = Peers("me", ("127.0.0.1", 9600), None, settings if seed % 3 else PeerSettings())
-        driver: Any = Peering(
+        peers = Peers(
+            "me", ("127.0.0.1", 9600), None, settings if seed % 3 else MembershipSettings()
+        )
+        driver: Any = MembershipDriver(
             loop,  # type: ignore[arg-type]
             peers,
             seed,
@@ -174,7 +176,7 @@
         )
         for number in range(300):
             loop.now += chance.choice([0.0, 0.05, 0.05, 0.1, 0.3, 4.0])
-            identities = [*driver.members.table.identities, 7]
+            identities = [*driver.protocol.table.identities, 7]
             message = any_message(chance, identities)
             data = wire.encode(
                 FLEET if chance.random() < 0.99 else "x", any_record(chance), message
--- a/stepknot/broker/lease_driver.py
+++ b/stepknot/broker/lease_driver.py
@@ -16,7 +16,7 @@
 from prometheus_client.metrics_core import Metric
 
 from stepknot.broker.core import Core
-from stepknot.broker.membership_driver import Peering
+from stepknot.broker.membership_driver import MembershipDriver
 from stepknot.broker.voter_store import VoterStore, Writer, pack
 from stepknot.config.leases import Owners
 from stepknot.discovery.drained_endpoints import Drained
@@ -41,7 +41,7 @@
         self,
         loop: Loop,
         owners: Owners,
-        peering: Peering,
+        peering: MembershipDriver,
         core: Core,
         listed: Drained,
         seed: int,
@@ -50,7 +50,7 @@
         """Raises OSError and `voterstore.Unfit` where the voter's state cannot be used."""
         self.loop, self.peering, self.core, self.listed, self.log = loop, peering, core, listed, log
         self.settings = owners.settings
-        me = peering.members.own.name, seed & (2**62 - 1)
+        me = peering.protocol.own.name, seed & (2**62 - 1)
         voter = None
         self.writer: Writer | None = None
         self.saves = self.written = 0
@@ -86,13 +86,13 @@
     # --- the loop's side
 
     def is_member(self, name: str) -> bool:
-        record = self.peering.members.table.here.get(name)
+        record = self.peering.protocol.table.present.get(name)
         return record is not None and record.state is not State.SUSPECT
 
     def tick(self) -> None:
         members = [
             name
-            for name, record in self.peering.members.table.here.items()
+            for name, record in self.peering.protocol.table.present.items()
             if record.state is State.ALIVE
         ]
         self.guarded(lambda now: self.node.tick(now, members))
--- a/stepknot/broker/membership_driver.py
+++ b/stepknot/broker/membership_driver.py
@@ -14,14 +14,14 @@
 from prometheus_client.metrics_core import Metric
 
 from stepknot.config.membership import Peers
-from stepknot.membership.members import Members
 from stepknot.membership.model import MOST_EPOCH, Counts, Record, State
+from stepknot.membership.protocol import MembershipProtocol
 from stepknot.net.loop import Coroutine, Loop
 
 FAREWELL = 4  # ticks for which a leave is told
 
 
-class Peering:
+class MembershipDriver:
     def __init__(
         self,
         loop: Loop,
@@ -39,7 +39,7 @@
         # The wall's clock is a first guess at an epoch above all earlier ones; where it is not, the seeds say so.
         epoch = min(max(int(wall() * 1000), 0), MOST_EPOCH - 1)
         own = Record(peers.name, host, port, epoch, seed & 0xFFFFFFFF, 0, State.JOINING)
-        self.members = Members(peers.settings, own, seed)
+        self.protocol = MembershipProtocol(peers.settings, own, seed)
         self.counted: Counts | None = None
         self.apart = False
         self.told_of_self = False
@@ -47,13 +47,13 @@
             bytes, Callable[[bytes], None]
         ] = {}  # by a datagram's first byte: others on this socket
         self.addresses: dict[str, tuple[str, int]] = {}  # of members, as last known
-        if peers.settings.seeds and not self.members.seeds:
+        if peers.settings.seeds and not self.protocol.seeds:
             log("peers_only_seed_is_this_broker", address=f"{host}:{port}")
         self.timer = loop.call_later(0.0, self.tick)
 
     def tick(self) -> None:
         """The clock is asked anew: a turn that was stopped half way must not pass for a moment."""
-        self.guarded(self.members.tick)
+        self.guarded(self.protocol.tick)
         self.timer = self.loop.call_later(self.settings.step, self.tick)
 
     def on_datagram(self, source: tuple[Any, ...], data: bytes) -> None:
@@ -61,11 +61,11 @@
         if other is not None:
             other(data)
         else:
-            self.guarded(lambda now: self.members.receive(now, data))
+            self.guarded(lambda now: self.protocol.receive(now, data))
 
     def send_to(self, name: str, data: bytes) -> bool:
         """To a member, also to one that is held dead or was forgotten. False: it was never heard of."""
-        record = self.members.table.records.get(name)
+        record = self.protocol.table.records.get(name)
         if record is not None:
             self.addresses[name] = record.address
         address = self.addresses.get(name)
@@ -84,8 +84,8 @@
 
     def carry(self, now: float) -> None:
         """What the decisions want sent and told."""
-        members = self.members
-        out, changes = members.take()
+        protocol = self.protocol
+        out, changes = protocol.take()
         for address, data in out:
             self.socket.send(address, data)
         for change in changes:
@@ -97,22 +97,22 @@
                 old=change.before.name.lower() if change.before is not None else None,
                 new=change.after.name.lower() if change.after is not None else None,
             )
-        if members.isolated != self.apart:
-            self.apart = members.isolated
+        if protocol.isolated != self.apart:
+            self.apart = protocol.isolated
             self.log(
-                "peers_isolated" if self.apart else "peers_not_isolated", why=members.isolated_why
+                "peers_isolated" if self.apart else "peers_not_isolated", why=protocol.isolated_why
             )
-        if members.stepped_aside and not self.told_of_self:
+        if protocol.stepped_aside and not self.told_of_self:
             self.told_of_self = True
-            self.log("peers_stepped_aside", why=members.isolated_why)
-        count = members.count(now)
+            self.log("peers_stepped_aside", why=protocol.isolated_why)
+        count = protocol.count(now)
         if count != self.counted:
             if self.counted is None or count.at_most != self.counted.at_most:
                 self.on_count(count.at_most)
             self.counted = count
 
     def leave(self) -> None:
-        self.guarded(self.members.leave)
+        self.guarded(self.protocol.leave)
 
     def end(self) -> Coroutine:
         """Tell the leave a few times more, then close."""
@@ -125,11 +125,11 @@
 
     def view(self) -> dict[str, Any]:
         """All there is to know of the members from here; ages in seconds."""
-        members, now = self.members, self.loop.clock()
-        table, count = members.table, members.count(now)
+        protocol, now = self.protocol, self.loop.clock()
+        table, count = protocol.table, protocol.count(now)
         rows = []
         for name, record in sorted(table.records.items()):
-            watched = members.watched.get(name)
+            watched = protocol.watched.get(name)
             since, why = table.why.get(name, (-math.inf, ""))
             rows.append(
                 {
@@ -138,7 +138,7 @@
                     "address": f"{record.host}:{record.port}",
                     "epoch": record.epoch,
                     "incarnation": record.incarnation,
-                    "self": name == members.own.name,
+                    "self": name == protocol.own.name,
                     "since": age(now, since),
                     "why": why,
                     "watched": watched is not None,
@@ -154,38 +154,38 @@
                 }
             )
         return {
-            "name": members.own.name,
+            "name": protocol.own.name,
             "fleet": self.settings.fleet,
             "version": table.version,
             "digest": f"{table.digest:016x}",
-            "joined": members.joined,
-            "isolated": members.isolated,
-            "isolated_why": members.isolated_why,
-            "stepped_aside": members.stepped_aside,
-            "stood_still": members.stood_still,
-            "live": members.table.counts[State.ALIVE],
-            "suspect": members.table.counts[State.SUSPECT],
+            "joined": protocol.joined,
+            "isolated": protocol.isolated,
+            "isolated_why": protocol.isolated_why,
+            "stepped_aside": protocol.stepped_aside,
+            "stood_still": protocol.stood_still,
+            "live": protocol.table.counts[State.ALIVE],
+            "suspect": protocol.table.counts[State.SUSPECT],
             "at_least": count.at_least,
             "at_most": count.at_most,
             "sure": count.sure,
-            "counters": dict(members.counters),
+            "counters": dict(protocol.counters),
             "not_taken": table.refused,
             "members": rows,
         }
 
     def collect(self) -> list[Metric]:
-        members = self.members
+        protocol = self.protocol
         states = GaugeMetricFamily(
             "stepknot_peers", "Members in this broker's view, by state", labels=["state"]
         )
         for state in State:
-            states.add_metric([state.name.lower()], members.table.counts[state])
+            states.add_metric([state.name.lower()], protocol.table.counts[state])
         events = CounterMetricFamily(
             "stepknot_peers_events", "What happened in membership", labels=["what"]
         )
-        for what, count in members.counters.items():
+        for what, count in protocol.counters.items():
             events.add_metric([what], count)
-        counted = members.count(self.loop.clock())
+        counted = protocol.count(self.loop.clock())
         return [
             states,
             events,
@@ -197,10 +197,10 @@
                     ("sure", counted.sure, "Whether that count is sure"),
                     (
                         "isolated",
-                        members.isolated,
+                        protocol.isolated,
                         "Whether this broker is cut off from most others",
                     ),
-                    ("version", members.table.version, "Changes of this view so far"),
+                    ("version", protocol.table.version, "Changes of this view so far"),
                 )
             ),
         ]
--- a/stepknot/broker/service.py
+++ b/stepknot/broker/service.py
@@ -22,7 +22,7 @@
 from stepknot.admission.model import Rank
 from stepknot.broker.admission_gate import Gate
 from stepknot.broker.core import Core
-from stepknot.broker.membership_driver import Peering
+from stepknot.broker.membership_driver import MembershipDriver
 from stepknot.broker.process import Life
 from stepknot.broker.queries import Queries
 from stepknot.config.settings import Config
@@ -201,11 +201,10 @@
             self.listed.take,
             lambda trouble: log("box_list_not_taken", trouble=trouble),
         )
-        self.peering = (
-            Peering(self.loop, config.peers, chance.getrandbits(62), self.note_instances, log)
-            if config.peers is not None
-            else None
-        )
+        self.peering: MembershipDriver | None = None
+        if config.peers is not None:
+            seed = chance.getrandbits(62)
+            self.peering = MembershipDriver(self.loop, config.peers, seed, self.note_instances, log)
         self.owning = None
         if config.owners is not None and self.peering is not None:
             from stepknot.broker.lease_driver import (
--- a/stepknot/config/membership.py
+++ b/stepknot/config/membership.py
@@ -7,9 +7,9 @@
 
 from stepknot.config.hcl import Block
 from stepknot.config.readers import Bad, Checker, Key, address, count, duration, flag, size, text
-from stepknot.membership.model import PeerSettings
+from stepknot.membership.model import MembershipSettings
 
-DEFAULT = PeerSettings()
+DEFAULT = MembershipSettings()
 
 
 def name(value: Any) -> str:
@@ -53,7 +53,7 @@
     name: str
     listen: tuple[str, int]
     advertise: tuple[str, int] | None
-    settings: PeerSettings
+    settings: MembershipSettings
 
 
 def read_peers(
@@ -92,7 +92,7 @@
         own,
         got["listen"],
         got["advertise"],
-        PeerSettings(
+        MembershipSettings(
             fleet=got["fleet"],
             seeds=got["seeds"],
             configured=instances or 1,
--- a/stepknot/leases/model.py
+++ b/stepknot/leases/model.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from stepknot.membership.wire import opened
+from stepknot.membership.wire import decode_envelope
 
 VERSION = 1
 MOST_VALUE = 900  # bytes of a job's record
@@ -254,5 +254,5 @@
 
 
 def decode(data: bytes, fleet: str) -> Envelope:
-    """Raises Unusable."""
-    return opened(decoder, VERSION, data, fleet)
+    """Raises DatagramError."""
+    return decode_envelope(decoder, VERSION, data, fleet)
--- a/stepknot/leases/node.py
+++ b/stepknot/leases/node.py
@@ -18,7 +18,7 @@
 from stepknot.leases.owner import Owner, Phase
 from stepknot.leases.place import order
 from stepknot.leases.voter import Voter
-from stepknot.membership.wire import Unusable
+from stepknot.membership.errors import DatagramError
 
 TURN = 0.5  # of a lease, that each next in line waits longer before it claims
 ASK_EVERY = 2.0  # leases between two questions to the voters, once a majority answered
@@ -122,7 +122,7 @@
         self.begin(now)
         try:
             envelope = m.decode(data, self.settings.fleet)
-        except Unusable as error:
+        except DatagramError as error:
             self.counters[f"dropped: {error}"] += 1
             return
         self.hear(now, (envelope.sender, envelope.birth), envelope.message)
--- a/stepknot/membership/losses.py
+++ b/stepknot/membership/losses.py
@@ -8,7 +8,7 @@
 import math
 from collections.abc import Iterable
 
-from stepknot.membership.model import PeerSettings, State
+from stepknot.membership.model import MembershipSettings, State
 from stepknot.membership.table import Table
 from stepknot.membership.watched import Watched
 
@@ -16,7 +16,7 @@
 LATELY = 4.0  # times as long as a death takes: members that died since then count as lost together
 
 
-def lost(table: Table, settings: PeerSettings, now: float) -> int:
+def lost(table: Table, settings: MembershipSettings, now: float) -> int:
     """Members that are suspect, or died so lately that it may be one loss: of half it is not for one to judge."""
     since = now - LATELY * settings.dead_after
     return table.counts[State.SUSPECT] + sum(
@@ -24,8 +24,8 @@
     )
 
 
-def many_lost(table: Table, settings: PeerSettings, now: float) -> bool:
-    return lost(table, settings, now) > max(1.0, MANY * len(table.here))
+def many_lost(table: Table, settings: MembershipSettings, now: float) -> bool:
+    return lost(table, settings, now) > max(1.0, MANY * len(table.present))
 
 
 def views_alike(watched: Iterable[Watched], since: float) -> bool:
@@ -36,7 +36,7 @@
 
 
 def why_isolated(
-    table: Table, watched: Iterable[Watched], settings: PeerSettings, now: float
+    table: Table, watched: Iterable[Watched], settings: MembershipSettings, now: float
 ) -> str:
     """Why this member has to take itself for cut off; empty: it need not."""
     after = settings.suspect_after
--- a/stepknot/membership/model.py
+++ b/stepknot/membership/model.py
@@ -28,8 +28,8 @@
     LEFT = 4  # by its own word
 
 
-HERE = (State.JOINING, State.ALIVE, State.SUSPECT)
-GONE = (State.DEAD, State.LEFT)
+PRESENT_STATES = (State.JOINING, State.ALIVE, State.SUSPECT)
+ABSENT_STATES = (State.DEAD, State.LEFT)
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True):
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerSettings:
+class MembershipSettings:
     """`docs/membership.md` derives each default. Sizes in bytes, of datagrams' contents."""
 
     fleet: str = "stepknot"
--- a/stepknot/membership/members.py
+++ b/stepknot/membership/protocol.py
@@ -34,16 +34,17 @@
 
 from stepknot.membership import wire
 from stepknot.membership.errands import Errands
+from stepknot.membership.errors import DatagramError
 from stepknot.membership.gossip import News
 from stepknot.membership.losses import many_lost, views_alike, why_isolated
 from stepknot.membership.model import (
-    GONE,
+    ABSENT_STATES,
     MOST_EPOCH,
     MOST_INCARNATION,
     UNBOUNDED,
     Change,
     Counts,
-    PeerSettings,
+    MembershipSettings,
     Record,
     State,
 )
@@ -58,10 +59,8 @@
 SUSPECTS_BEAT = 4  # periods between two beats to a suspect
 KNOCK_MOST = 2.0  # seconds between two tries of a joining member at the most
 SYNC = 4  # periods between two questions about the table: one takes as much as half a second's rate
-ANSWERS, BEATS = (
-    0.25,
-    1.0,
-)  # of the burst: what answers, and beats in their time, may take beyond what is saved
+# Of the burst: what answers, and beats in their time, may take beyond what is saved.
+ANSWERS, BEATS = 0.25, 1.0
 # Datagrams that a question about the silent leaves: more than a repair, which leaves one and is one. It is repairs that
 # end a storm; where questions came first, a third lost at once kept all members asking for good.
 QUESTION_LEAVES = 3
@@ -72,8 +71,8 @@
 STILL = 2.0  # periods without a tick after which a member stood still
 
 
-class Members:
-    def __init__(self, settings: PeerSettings, own: Record, seed: int) -> None:
+class MembershipProtocol:
+    def __init__(self, settings: MembershipSettings, own: Record, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.own = msgspec.structs.replace(own, state=State.JOINING)
@@ -144,7 +143,7 @@
             return
         try:
             envelope = wire.decode(data, self.settings.fleet)
-        except wire.Unusable as error:
+        except DatagramError as error:
             self.counters[f"dropped: {error}"] += 1
             return
         sender, message = envelope.sender, envelope.message
@@ -220,10 +219,10 @@
         """A record of this name that is not this process's own."""
         if record.process <= self.own.process:
             self.prove(now, record)
-            if record.process != self.own.process and record.state not in GONE:
+            if record.process != self.own.process and record.state not in ABSENT_STATES:
                 self.counters["met an older namesake"] += 1
                 self.emit(now, record.address, wire.News([self.own]))
-        elif not self.joined or record.state in GONE or record.address == self.own.address:
+        elif not self.joined or record.state in ABSENT_STATES or record.address == self.own.address:
             self.take_epoch(
                 now, record.epoch, "an earlier process had this name"
             )  # no other one can be there now
@@ -243,12 +242,12 @@
     # --- others' records
 
     def put(self, now: float, record: Record, why: str) -> bool:
-        known = self.table.here.get(record.name)
+        known = self.table.present.get(record.name)
         if not self.table.put(now, record, why):
             return False
         if record.state is not State.JOINING:
             self.news.add(now, record.name)
-        if record.state in GONE:
+        if record.state in ABSENT_STATES:
             self.rings.drop(record.name)
             self.watched.pop(record.name, None)
             self.errands.forget(record.name)
@@ -274,7 +273,7 @@
     def rewire(self, now: float) -> None:
         """Watch those that the rings name now."""
         self.rewire_due = False
-        here = self.table.here
+        here = self.table.present
         nearest, between = self.rings.around(
             self.own.name, lambda name: here[name].state is State.SUSPECT
         )
@@ -458,7 +457,7 @@
 
     def on_join(self, now: float, sender: Record, join: wire.Join) -> None:
         """Its own name first; of the others as many as one datagram holds, the rest by comparing."""
-        others = [each for each in self.table.here.values() if each.name != sender.name]
+        others = [each for each in self.table.present.values() if each.name != sender.name]
         first = self.random.sample(others, min(len(others), wire.RECORDS - 2))
         self.send_records(
             now,
@@ -540,7 +539,7 @@
         after, watched = self.settings.suspect_after, self.watched
         return [
             name
-            for name, record in self.table.here.items()
+            for name, record in self.table.present.items()
             if record.state is State.ALIVE
             and name != self.own.name
             and (name not in watched or watched[name].silent(self.ticked) <= after)
@@ -606,7 +605,7 @@
         dead = [name for name in self.table.gone if self.table.records[name].state is State.DEAD]
         if dead:
             self.beat(now, self.random.choice(dead), reply=True)
-        here = {record.address for record in self.table.here.values()}
+        here = {record.address for record in self.table.present.values()}
         missing = [each for each in self.seeds if each not in here]
         if missing:
             self.emit(now, self.random.choice(missing), wire.Join())
@@ -633,7 +632,7 @@
         if not self.news.left:
             return
         self.spread_at = now
-        others = [each for each in self.table.here.values() if each.name != self.own.name]
+        others = [each for each in self.table.present.values() if each.name != self.own.name]
         picked = self.news.pick(wire.WORDS)
         names = [name for name in picked if name in self.table.records]
         news, count = self.pack(now, [self.table.records[name] for name in names])
--- a/stepknot/membership/questions.py
+++ b/stepknot/membership/questions.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Mapping
 
-from stepknot.membership.model import PeerSettings, State
+from stepknot.membership.model import MembershipSettings, State
 from stepknot.membership.rings import Rings
 from stepknot.membership.table import Table
 from stepknot.membership.watched import Watched
@@ -19,7 +19,7 @@
 
 class Questions:
     def __init__(
-        self, settings: PeerSettings, table: Table, rings: Rings, chance: random.Random
+        self, settings: MembershipSettings, table: Table, rings: Rings, chance: random.Random
     ) -> None:
         self.settings, self.table, self.rings, self.random = settings, table, rings, chance
 
@@ -39,7 +39,7 @@
 
     def watchers_of(self, names: list[str], others: list[str]) -> list[str]:
         """Some of those that watch the silent ones: if anybody has a younger sign of life, it is they."""
-        here, free = self.table.here, set(others)
+        here, free = self.table.present, set(others)
         found = []
         for name in names:
             nearest, _ = self.rings.around(name, lambda each: here[each].state is State.SUSPECT)
@@ -61,14 +61,14 @@
         return found
 
 
-def confirmed(watched: Watched, settings: PeerSettings, others: int, now: float) -> bool:
+def confirmed(watched: Watched, settings: MembershipSettings, others: int, now: float) -> bool:
     """Whether enough of so many others had nothing younger just now; where there is nobody to ask, nobody has to."""
     watched.forget_told(now - settings.dead_after)
     lately = sum(at >= now - settings.suspect_after for at in watched.told.values())
     return lately >= min(settings.proofs, others)
 
 
-def widely_confirmed(watched: Watched, settings: PeerSettings, others: int) -> bool:
+def widely_confirmed(watched: Watched, settings: MembershipSettings, others: int) -> bool:
     """The same of more others, though not of all of them just now: a cut that only a few can see past looks like a loss
     of many."""
     return len(watched.told) >= min(BREADTH * settings.helpers, others)
--- a/stepknot/membership/table.py
+++ b/stepknot/membership/table.py
@@ -13,7 +13,7 @@
 from hashlib import blake2b
 from zlib import crc32
 
-from stepknot.membership.model import GONE, HERE, Change, Record, State
+from stepknot.membership.model import ABSENT_STATES, PRESENT_STATES, Change, Record, State
 from stepknot.membership.wire import BUCKETS, PRINTS
 
 
@@ -47,7 +47,7 @@
     def __init__(self, most: int, tombstone: float) -> None:
         self.most, self.tombstone = most, tombstone
         self.records: dict[str, Record] = {}
-        self.here: dict[str, Record] = {}  # of these the ones not gone
+        self.present: dict[str, Record] = {}  # of these the ones not gone
         self.gone: dict[str, float] = {}  # until when the others are remembered, the oldest first
         self.why: dict[
             str, tuple[float, str]
@@ -99,8 +99,8 @@
         old = self.records.get(record.name)
         if old is not None and record.rank <= old.rank:
             return False
-        if old is None and (record.state in GONE or not self.room()):
-            self.refused += record.state not in GONE
+        if old is None and (record.state in ABSENT_STATES or not self.room()):
+            self.refused += record.state not in ABSENT_STATES
             return False  # the death of someone unknown needs no remembering
         self.take_out(old)
         self.records[record.name] = record
@@ -109,8 +109,8 @@
             self.identify(now, record)
         self.counts[record.state] += 1
         self.gone.pop(record.name, None)
-        if record.state in HERE:
-            self.here[record.name] = record
+        if record.state in PRESENT_STATES:
+            self.present[record.name] = record
             self.digest ^= self.prints[record.name]
         else:
             self.gone[record.name] = now + self.tombstone
@@ -137,7 +137,7 @@
     def take_out(self, old: Record | None) -> None:
         if old is not None:
             self.counts[old.state] -= 1
-            if self.here.pop(old.name, None) is not None:
+            if self.present.pop(old.name, None) is not None:
                 self.digest ^= self.prints[old.name]
 
     def forget(self, name: str, why: str) -> None:
--- a/stepknot/membership/wire.py
+++ b/stepknot/membership/wire.py
@@ -10,6 +10,7 @@
 
 import msgspec
 
+from stepknot.membership.errors import DatagramError
 from stepknot.membership.model import MOST_INCARNATION, NAME, Record, State
 
 VERSION = 2
@@ -100,10 +101,6 @@
     message: Message
 
 
-class Unusable(Exception):
-    """A datagram that is none of ours; its text is the reason it is counted under."""
-
-
 encoder = msgspec.msgpack.Encoder()
 decoder = msgspec.msgpack.Decoder(Envelope)
 
@@ -135,21 +132,23 @@
 Kind = TypeVar("Kind", bound=Enveloped)
 
 
-def opened(decoder: msgspec.msgpack.Decoder[Kind], version: int, data: bytes, fleet: str) -> Kind:
-    """Raises Unusable."""
+def decode_envelope(
+    decoder: msgspec.msgpack.Decoder[Kind], version: int, data: bytes, fleet: str
+) -> Kind:
+    """Raises DatagramError."""
     if len(data) > MOST_BYTES:
-        raise Unusable("too long")
+        raise DatagramError("too long")
     try:
         found = decoder.decode(data)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError):
-        raise Unusable("malformed") from None
+        raise DatagramError("malformed") from None
     if found.version != version:
-        raise Unusable("another version")
+        raise DatagramError("another version")
     if found.fleet != fleet:
-        raise Unusable("another fleet")
+        raise DatagramError("another fleet")
     return found
 
 
 def decode(data: bytes, fleet: str) -> Envelope:
-    """Raises Unusable."""
-    return opened(decoder, VERSION, data, fleet)
+    """Raises DatagramError."""
+    return decode_envelope(decoder, VERSION, data, fleet)
--- a/stepknot/simulation/membership_baselines.py
+++ b/stepknot/simulation/membership_baselines.py
@@ -18,11 +18,13 @@
 
 import msgspec
 
-from stepknot.membership.model import Change, Counts, PeerSettings, Record, State
+from stepknot.membership.model import Change, Counts, MembershipSettings, Record, State
 
 Address = tuple[str, int]
 SECOND = 1.0
-SILENCE = 5.5  # seconds until a fixed time-out: a pause of 5 s is to be borne, as by `Members`
+SILENCE = (
+    5.5  # seconds until a fixed time-out: a pause of 5 s is to be borne, as by `MembershipProtocol`
+)
 PHI = 8.0  # the threshold that its authors and users take
 LEAST_SPREAD = 0.1  # seconds: of gaps that never vary
 GAPS = 200
@@ -31,7 +33,7 @@
 
 
 class Baseline:
-    def __init__(self, settings: PeerSettings, own: Record, seed: int) -> None:
+    def __init__(self, settings: MembershipSettings, own: Record, seed: int) -> None:
         self.own, self.random = own, random.Random(seed)
         self.addresses: dict[str, Address] = {
             f"b{number}": ("127.0.0.1", 1 + number) for number in range(settings.configured)
@@ -68,7 +70,7 @@
 
 
 class Heartbeats(Baseline):
-    def __init__(self, settings: PeerSettings, own: Record, seed: int) -> None:
+    def __init__(self, settings: MembershipSettings, own: Record, seed: int) -> None:
         super().__init__(settings, own, seed)
         self.heard: dict[str, float] = {}
 
@@ -95,7 +97,7 @@
 
 
 class PhiAccrual(Heartbeats):
-    def __init__(self, settings: PeerSettings, own: Record, seed: int) -> None:
+    def __init__(self, settings: MembershipSettings, own: Record, seed: int) -> None:
         super().__init__(settings, own, seed)
         self.gaps: dict[str, deque[float]] = {}
         self.limits: dict[str, float] = {}
@@ -117,7 +119,7 @@
 class Swim(Baseline):
     """Messages: ("p" ping, "a" answer, "q" ping for another), each with news (name, incarnation, state)."""
 
-    def __init__(self, settings: PeerSettings, own: Record, seed: int) -> None:
+    def __init__(self, settings: MembershipSettings, own: Record, seed: int) -> None:
         super().__init__(settings, own, seed)
         self.incarnations = dict.fromkeys(self.addresses, 0)
         self.news: dict[str, int] = {}
--- a/stepknot/simulation/membership_model.py
+++ b/stepknot/simulation/membership_model.py
@@ -14,15 +14,15 @@
 from hashlib import blake2b
 from typing import Any, Protocol
 
-from stepknot.membership.members import Members
-from stepknot.membership.model import Change, Counts, PeerSettings, Record, State
+from stepknot.membership.model import Change, Counts, MembershipSettings, Record, State
+from stepknot.membership.protocol import MembershipProtocol
 
 Address = tuple[str, int]
 SHORTEST, LONGEST = 0.0002, 0.002  # seconds on the way, when nothing is wrong
 
 
 class Member(Protocol):
-    """What is run here: `Members`, or one of the baselines."""
+    """What is run here: `MembershipProtocol`, or one of the baselines."""
 
     own: Record
 
@@ -34,14 +34,14 @@
     def count(self, now: float) -> Counts: ...
 
 
-class Shipped(Members):
+class Shipped(MembershipProtocol):
     """The decisions as they ship."""
 
     def states(self) -> dict[str, State]:
         return {name: record.state for name, record in self.table.records.items()}
 
 
-Make = Callable[[PeerSettings, Record, int], Member]
+Make = Callable[[MembershipSettings, Record, int], Member]
 
 
 @dataclass(slots=True)
@@ -74,12 +74,12 @@
 
 class Model:
     def __init__(
-        self, size: int, seed: int, settings: PeerSettings | None = None, make: Make = Shipped
+        self, size: int, seed: int, settings: MembershipSettings | None = None, make: Make = Shipped
     ) -> None:
         self.random = random.Random(seed)
         self.now = 0.0
         self.make, self.network = make, Network()
-        self.settings = settings or PeerSettings()
+        self.settings = settings or MembershipSettings()
         self.events: list[tuple[float, int, Callable[[], Any]]] = []
         self.count = 0
         self.processes: dict[str, Process] = {}
@@ -88,8 +88,8 @@
         self.epoch = 1000
         names = [f"b{number}" for number in range(size)]
         seeds = tuple(("127.0.0.1", 1 + number) for number in range(min(size, 3)))
-        self.settings = PeerSettings(
-            **{each: getattr(self.settings, each) for each in PeerSettings.__slots__}
+        self.settings = MembershipSettings(
+            **{each: getattr(self.settings, each) for each in MembershipSettings.__slots__}
             | {"seeds": seeds, "configured": size}
         )
         for number, name in enumerate(names):
@@ -254,7 +254,7 @@
     seconds: float,
     script: Callable[[Model], Any],
     make: Make = Shipped,
-    settings: PeerSettings | None = None,
+    settings: MembershipSettings | None = None,
 ) -> Model:
     model = Model(size, seed, settings, make)
     script(model)
--- a/stepknot/simulation/membership_search.py
+++ b/stepknot/simulation/membership_search.py
@@ -17,8 +17,8 @@
 from dataclasses import dataclass
 from functools import partial
 
-from stepknot.membership.members import Members
-from stepknot.membership.model import PeerSettings, State
+from stepknot.membership.model import MembershipSettings, State
+from stepknot.membership.protocol import MembershipProtocol
 from stepknot.simulation.membership_model import Model
 
 TROUBLED, CONVERGED = 90.0, 60.0
@@ -44,7 +44,7 @@
         self.gentle = chance.random() < 0.5
         kinds = GENTLE if self.gentle else ROUGH
         self.kinds = tuple(kind for kind in kinds if chance.random() < 0.5) or kinds[:1]
-        self.model = Model(self.size, seed, PeerSettings(tombstone=3000.0))
+        self.model = Model(self.size, seed, MembershipSettings(tombstone=3000.0))
         self.cuts: set[tuple[str, str]] = set()
         self.model.network.cut = lambda source, target: (source, target) in self.cuts
         self.lately: list[tuple[float, int]] = []  # how many ran, over the last seconds
@@ -134,8 +134,10 @@
             wrong = wrong or f"views still differ after {CONVERGED:g} s"
         return Found(self.seed, self.size, self.kinds, wrong, model.trace, model.now - over)
 
-    def members(self) -> list[Members]:
-        return [each.member for each in self.model.up() if isinstance(each.member, Members)]
+    def members(self) -> list[MembershipProtocol]:
+        return [
+            each.member for each in self.model.up() if isinstance(each.member, MembershipProtocol)
+        ]
 
     def look(self) -> str:
         """What does not hold now, in one sentence; empty: all does."""
@@ -159,7 +161,7 @@
             if process.sent > settings.rate * (now - process.started) + 2 * settings.burst:
                 return f"{now:.2f} s: {process.name} sent {process.sent} bytes"
             if sum(table.counts) != len(table.records) or any(
-                table.records[name].state in (State.DEAD, State.LEFT) for name in table.here
+                table.records[name].state in (State.DEAD, State.LEFT) for name in table.present
             ):
                 return f"{now:.2f} s: the table of {process.name} does not fit itself"
         return ""
--- a/stepknot/simulation/scale_leases.py
+++ b/stepknot/simulation/scale_leases.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from stepknot.broker.membership_driver import Peering
+from stepknot.broker.membership_driver import MembershipDriver
 from stepknot.leases import drains
 from stepknot.leases.model import MARK, Held, OwnerSettings, Saved
 from stepknot.leases.node import Ownership, Work
@@ -31,9 +31,11 @@
 
 
 class SimulatedOwner:
-    def __init__(self, loop: Loop, member: Peering, settings: OwnerSettings, seed: int) -> None:
+    def __init__(
+        self, loop: Loop, member: MembershipDriver, settings: OwnerSettings, seed: int
+    ) -> None:
         self.loop, self.member = loop, member
-        name = member.members.own.name
+        name = member.protocol.own.name
         voter = (
             Voter(name, settings, Saved(settings.fleet, name, FIRST_LIFE, {}, []))
             if (name in settings.voters)
@@ -53,11 +55,11 @@
         self.timer = loop.call_later(0.0, self.tick)
 
     def is_member(self, name: str) -> bool:
-        record = self.member.members.table.here.get(name)
+        record = self.member.protocol.table.present.get(name)
         return record is not None and record.state is not State.SUSPECT
 
     def tick(self) -> None:
-        here = self.member.members.table.here
+        here = self.member.protocol.table.present
         self.node.tick(
             self.loop.clock(), [name for name, each in here.items() if each.state is State.ALIVE]
         )
--- a/stepknot/simulation/scale_members.py
+++ b/stepknot/simulation/scale_members.py
@@ -1,6 +1,6 @@
 """Many simulated members in one process and on one loop: `python -m stepknot.simulation.scale_members SPEC.json`.
 
-Each is the membership that ships (`broker.peering.Peering`) with a socket of its own on loopback, and ownership where
+Each is the membership that ships (`MembershipDriver`) with a socket of its own on loopback, and ownership where
 there are voters (`scale_leases`); it stands for a broker's control and for nothing else. Simulated are the way its
 process ends (the socket closes without a word) and a cut of the network: members inside it drop all that they send to,
 or receive from, whoever is not.
@@ -23,10 +23,10 @@
 
 import msgspec
 
-from stepknot.broker.membership_driver import Peering
+from stepknot.broker.membership_driver import MembershipDriver
 from stepknot.config.membership import Peers
 from stepknot.leases.model import OwnerSettings
-from stepknot.membership.model import PeerSettings, State
+from stepknot.membership.model import MembershipSettings, State
 from stepknot.net.http import HttpError, HttpLimits, Request, Response
 from stepknot.net.loop import Datagrams, Loop, Park
 from stepknot.net.server import Connection, Server
@@ -49,8 +49,8 @@
     voters: list[str]  # of ownership; none: no member takes part in it
     seed: int
 
-    def settings(self) -> PeerSettings:
-        return PeerSettings(
+    def settings(self) -> MembershipSettings:
+        return MembershipSettings(
             seeds=tuple(self.seeds),
             configured=self.configured,
             period=self.period,
@@ -134,7 +134,7 @@
 class MembersHost:
     def __init__(self, spec: MembersSpec) -> None:
         self.spec, self.loop = spec, CutLoop(spec.seed)
-        self.members: dict[str, Peering] = {}
+        self.members: dict[str, MembershipDriver] = {}
         self.owners: dict[str, SimulatedOwner] = {}
         self.deaths: Counter[str] = Counter()
         self.control = Server(
@@ -183,7 +183,7 @@
             )
 
     def start_member(self, name: str) -> None:
-        self.members[name] = Peering(
+        self.members[name] = MembershipDriver(
             self.loop,
             Peers(name, (self.spec.host, 0), None, self.spec.settings()),
             self.loop.rng.getrandbits(62),
@@ -213,7 +213,7 @@
         outside = [
             each for each in self.members.values() if own_address(each) not in self.loop.cuts.inside
         ]
-        counters = [each.members.counters for each in self.members.values()]
+        counters = [each.protocol.counters for each in self.members.values()]
         return MembersState(
             len(self.members),
             len(outside),
@@ -229,12 +229,12 @@
         )
 
 
-def own_address(member: Peering) -> Address:
-    return member.members.own.address
+def own_address(member: MembershipDriver) -> Address:
+    return member.protocol.own.address
 
 
-def holds(member: Peering, size: int) -> bool:
-    counts = member.members.table.counts
+def holds(member: MembershipDriver, size: int) -> bool:
+    counts = member.protocol.table.counts
     return counts[State.ALIVE] == size and not counts[State.SUSPECT] and not counts[State.JOINING]
 
 
--- a/stepknot/simulation/scale_model.py
+++ b/stepknot/simulation/scale_model.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from stepknot.membership.model import PeerSettings, State
+from stepknot.membership.model import MembershipSettings, State
 from stepknot.simulation.membership_model import Model
 from stepknot.simulation.scale_figures import Cost, Times
 from stepknot.simulation.scale_members import resident
@@ -77,7 +77,7 @@
 
 def play(spec: ModelSpec) -> ModelFigures:
     empty = resident(os.getpid())
-    settings = PeerSettings(
+    settings = MembershipSettings(
         period=spec.period,
         pause=spec.pause,
         tombstone=spec.tombstone,
--- a/stepknot/simulation/scale_plan.py
+++ b/stepknot/simulation/scale_plan.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 from typing import TypeVar
 
-from stepknot.membership.model import PeerSettings
+from stepknot.membership.model import MembershipSettings
 
 Item = TypeVar("Item")
-DEFAULT = PeerSettings()
+DEFAULT = MembershipSettings()
 ZONES = "abc"
 REAL_VOTERS = 3
 CELLS = 4
--- a/tests/membership/test_decisions.py
+++ b/tests/membership/test_decisions.py
@@ -12,15 +12,15 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from stepknot.membership import wire
-from stepknot.membership.members import Members
 from stepknot.membership.model import (
-    HERE,
     MOST_EPOCH,
     MOST_INCARNATION,
-    PeerSettings,
+    PRESENT_STATES,
+    MembershipSettings,
     Record,
     State,
 )
+from stepknot.membership.protocol import MembershipProtocol
 from stepknot.membership.rings import Rings
 from stepknot.membership.table import Table, identity_of
 from stepknot.simulation.membership_model import Model
@@ -39,8 +39,8 @@
     return Record(name, "127.0.0.1", port, epoch, birth, incarnation, state)
 
 
-def member(**given: Any) -> Members:
-    found = Members(PeerSettings(**given), record("me", epoch=10, port=1), seed=1)
+def member(**given: Any) -> MembershipProtocol:
+    found = MembershipProtocol(MembershipSettings(**given), record("me", epoch=10, port=1), seed=1)
     found.tick(0.0)
     found.take()
     return found
@@ -308,14 +308,16 @@
 
 
 def test_its_own_address_among_the_seeds_is_not_asked() -> None:
-    found = Members(PeerSettings(seeds=(("127.0.0.1", 1),)), record("me", port=1), seed=1)
+    found = MembershipProtocol(
+        MembershipSettings(seeds=(("127.0.0.1", 1),)), record("me", port=1), seed=1
+    )
     found.tick(0.0)
     assert found.joined and not found.take()[0]
 
 
 def test_seeds_that_do_not_answer_are_asked_again_and_it_counts_as_configured_meanwhile() -> None:
-    found = Members(
-        PeerSettings(seeds=(("127.0.0.1", 9),), configured=7), record("me", port=1), seed=1
+    found = MembershipProtocol(
+        MembershipSettings(seeds=(("127.0.0.1", 9),), configured=7), record("me", port=1), seed=1
     )
     asked = 0
     for step in range(600):
@@ -460,7 +462,7 @@
 
     @initialize(seed=st.integers(0, 2**32), size=st.integers(3, 9))
     def begin(self, seed: int, size: int) -> None:
-        self.model = Model(size, seed, PeerSettings(tombstone=3000.0))
+        self.model = Model(size, seed, MembershipSettings(tombstone=3000.0))
         self.size = size
         self.model.run(2.0)
         self.excused: dict[
@@ -522,8 +524,8 @@
                 assert count.at_most >= truth, (each.name, count, truth)
             table = each.member.table  # type: ignore[attr-defined]
             assert sum(table.counts) == len(table.records) <= table.most
-            assert table.here == {
-                name: one for name, one in table.records.items() if one.state in HERE
+            assert table.present == {
+                name: one for name, one in table.records.items() if one.state in PRESENT_STATES
             }
         if not self.cuts:
             return
@@ -600,7 +602,7 @@
     assert len(asked & watchers) >= found.settings.helpers // 2
 
 
-def sent_kinds(found: Members) -> set[type]:
+def sent_kinds(found: MembershipProtocol) -> set[type]:
     return {type(wire.decode(data, "stepknot").message) for _, data in found.take()[0]}
 
 
@@ -645,7 +647,7 @@
 
 
 def test_word_that_nothing_was_heard_borrows_nothing() -> None:
-    burst = PeerSettings().burst
+    burst = MembershipSettings().burst
     assert asked_about_a_silent_one(burst, burst) == ({wire.Beat}, {wire.Tell})
     assert asked_about_a_silent_one(burst, 0.0) == ({wire.Beat}, set())
 
--- a/tests/membership/test_model.py
+++ b/tests/membership/test_model.py
@@ -9,17 +9,17 @@
 
 import pytest
 
-from stepknot.membership.model import Counts, PeerSettings, State
+from stepknot.membership.model import Counts, MembershipSettings, State
 from stepknot.simulation.membership_model import Model
 
 pytestmark = pytest.mark.cpu_only
 
 SIZE = 20
-SETTINGS = PeerSettings()
+SETTINGS = MembershipSettings()
 KNOWN = SETTINGS.dead_after + 1.0  # seconds in which a crash is known to all, without loss
 
 
-def ready(size: int = SIZE, seed: int = 1, settings: PeerSettings | None = None) -> Model:
+def ready(size: int = SIZE, seed: int = 1, settings: MembershipSettings | None = None) -> Model:
     model = Model(size, seed, settings)
     model.run(2.0)
     assert settle(model, 20.0) is not None
@@ -85,7 +85,7 @@
 
 def test_the_dead_are_counted_for_as_long_as_they_are_remembered() -> None:
     """They may live on, cut off, and take their share."""
-    model = ready(settings=PeerSettings(tombstone=30.0))
+    model = ready(settings=MembershipSettings(tombstone=30.0))
     model.run(35.0)  # from here on the configured number does not count any more
     model.kill("b1")
     model.run(model.now + 10.0)
@@ -95,7 +95,7 @@
 
 
 def test_a_leave_is_told_and_is_no_death() -> None:
-    model = ready(settings=PeerSettings(tombstone=30.0))
+    model = ready(settings=MembershipSettings(tombstone=30.0))
     at = model.now
     model.leave("b3")
     model.run(at + 3.0)
@@ -300,7 +300,7 @@
 
 
 def test_a_member_cut_off_for_long_takes_no_share_before_others_stop_counting_it() -> None:
-    model = ready(settings=PeerSettings(tombstone=60.0))
+    model = ready(settings=MembershipSettings(tombstone=60.0))
     model.run(70.0)
     part(model, {"b1"})
     at = model.now
@@ -376,7 +376,7 @@
     """Questions about the lost, and answers, took all that the others may send: nothing was left for word of the deaths
     and for repairs, and so the questions went on for good.
     """
-    model = ready(40, seed, PeerSettings(rate=1200.0, burst=9600.0))
+    model = ready(40, seed, MembershipSettings(rate=1200.0, burst=9600.0))
     lost, at = set(list(model.processes)[1::3]), model.now
     for name in lost:
         model.kill(name)
