--- a/bench/planted_defects/nodes.py
+++ b/bench/planted_defects/nodes.py
@@ -21,7 +21,7 @@
     ),
     PlantedDefect(
         path="stepknot/nodes/rest_transport.py",
-        original="call.exchange.abandon()  # nobody",
+        original="call.exchange.cancel()  # nobody",
         replacement="pass  # nobody",
         tests=(
             "tests/broker/test_hard_cases.py::test_a_client_that_hangs_up_has_its_parts_called_off",
--- a/bench/scale_readers.py
+++ b/bench/scale_readers.py
@@ -18,7 +18,7 @@
 import orjson
 from scale_report import NODES, SHARDS, Effort, Finding, Gathered, Note, bytes_of, seconds_of
 
-from stepknot.discovery.endpoint_file import changes, read_entries
+from stepknot.discovery.endpoint_file import diff_endpoint_lists, read_endpoint_list
 from stepknot.interface import ServerState
 from stepknot.platform import discovery
 from stepknot.platform.config import Unreadable
@@ -100,20 +100,20 @@
 def file_reader(gathered: Gathered, path: Path, length: int, seed: int) -> None:
     path.write_bytes(file_rows(length, seed))
     gathered.add(
-        "file read", "ms", length, seconds_of(lambda: read_entries(path, CLOCK_OFFSET)) * 1e3
+        "file read", "ms", length, seconds_of(lambda: read_endpoint_list(path, CLOCK_OFFSET)) * 1e3
     )
-    size, old = bytes_of(lambda: read_entries(path, CLOCK_OFFSET))
+    size, old = bytes_of(lambda: read_endpoint_list(path, CLOCK_OFFSET))
     gathered.add("file's entries", "bytes", length, size)
-    new = read_entries(path, CLOCK_OFFSET)
+    new = read_endpoint_list(path, CLOCK_OFFSET)
     name = next(iter(new))
     new[name] = replace(new[name], state=ServerState.DRAINING)
     gathered.add(
         "one change found in the file's entries",
         "ms",
         length,
-        seconds_of(lambda: changes(old, new)) * 1e3,
+        seconds_of(lambda: diff_endpoint_lists(old, new)) * 1e3,
     )
-    if len(changes(old, new)) != 1:
+    if len(diff_endpoint_lists(old, new)) != 1:
         raise AssertionError("one entry differs, and more or less than one was told")
 
 
--- a/bench/trace_packages/subsets.py
+++ b/bench/trace_packages/subsets.py
@@ -11,10 +11,10 @@
 import orjson
 
 from bench.trace_packages.trace import Trace
-from stepknot.broker.subset_driver import Subsetting
+from stepknot.broker.subset_driver import SubsetDriver
 from stepknot.config.hcl import ConfigError
 from stepknot.discovery.drained_endpoints import Drained
-from stepknot.discovery.endpoint_file import changes, read_entries
+from stepknot.discovery.endpoint_file import diff_endpoint_lists, read_endpoint_list
 from stepknot.interface import (
     Limits,
     ListKind,
@@ -194,7 +194,7 @@
         fleet = Settings(60, CELLS, 1, 16, {}, Rules(1.0, 0.2, COLD_TIME, 4.0, 1.0), Limits(3))
         own = SubsetSettings("b0", 3, 8.0, zone="a", tiers=TIERS, own=frozenset({"me:1"}))
         self.listed = Drained(self._handed)
-        self.driver = Subsetting(
+        self.driver = SubsetDriver(
             self.loop, own, fleet, self.listed, self._handed, lambda _, **fields: self._log(fields)
         )
         self.listed.on_list = self.driver.take
@@ -291,7 +291,7 @@
             row["state"] = "draining"
         rest = orjson.dumps({"boxes": good[:15]}).decode()
         second = _read(trace, Path(folder, "a.json"), rest, 5.0004)
-        for entry in changes(first, second):
+        for entry in diff_endpoint_lists(first, second):
             _add_entry(trace, entry)
         _read(trace, Path(folder, "a.hcl"), 'box "h:1" {\n  zone = "a"\n  kind = "k"\n}\n', 0.0)
         for name, text in BAD_LISTS:
@@ -301,7 +301,7 @@
 def _read(trace: Trace, path: Path, text: str, offset: float) -> dict[str, ServerEntry]:
     path.write_text(text)
     try:
-        found = read_entries(path, offset)
+        found = read_endpoint_list(path, offset)
     except ConfigError as error:
         trace.add(*(f"{each.line} {each.key} {each.expected}" for each in error.problems))
         return {}
--- a/stepknot/broker/core.py
+++ b/stepknot/broker/core.py
@@ -20,7 +20,7 @@
 from stepknot.logic import Aggregator
 from stepknot.net.loop import Loop, Signal
 from stepknot.nodes.codec import PartReply
-from stepknot.nodes.transport import Boxes, Load, OutgoingAttempt
+from stepknot.nodes.transport import Load, NodeTransport, OutgoingAttempt
 from stepknot.zones.policy import Zones
 from stepknot.zones.spill import Rate
 
@@ -104,7 +104,7 @@
         loop: Loop,
         settings: api.Settings,
         seed: int,
-        boxes: Boxes,
+        boxes: NodeTransport,
         on_event: Callable[..., None],
         most_held: int = 4096,
         name: str = "",
--- a/stepknot/broker/indices.py
+++ b/stepknot/broker/indices.py
@@ -20,7 +20,7 @@
 from stepknot.interface import Outcome, ServerState
 from stepknot.net.http import ClientParser, HttpError
 from stepknot.net.loop import Park, Signal
-from stepknot.nodes.connection_pool import Exchange, Pool
+from stepknot.nodes.connection_pool import ConnectionPool, Exchange
 from stepknot.search.errors import ParsingError, RequestError, unsupported
 
 LEASE = (
@@ -36,7 +36,7 @@
 
 
 class Indices:
-    def __init__(self, config: Config, core: Core, pool: Pool) -> None:
+    def __init__(self, config: Config, core: Core, pool: ConnectionPool) -> None:
         self.config, self.core, self.pool = config, core, pool
         self.declared = config.indices
         self.created: dict[str, Index] = {}
@@ -121,7 +121,7 @@
                 done.set((0, b""))
 
         def expire() -> None:
-            exchange.abandon()
+            exchange.cancel()
             done.set((0, b""))
 
         head = (
--- a/stepknot/broker/queries.py
+++ b/stepknot/broker/queries.py
@@ -19,7 +19,7 @@
 from stepknot.config.settings import Config, Index
 from stepknot.net.loop import Loop, Park, Task
 from stepknot.nodes.codec import SearchPart, WritePart
-from stepknot.nodes.connection_pool import Pool
+from stepknot.nodes.connection_pool import ConnectionPool
 from stepknot.search.aggs import MergeError
 from stepknot.search.errors import RequestError
 from stepknot.search.merge import Merged, ShardHits, Target, merge, read_shard
@@ -120,7 +120,7 @@
 
 
 class Queries:
-    def __init__(self, config: Config, core: Core, pool: Pool) -> None:
+    def __init__(self, config: Config, core: Core, pool: ConnectionPool) -> None:
         self.config, self.core = config, core
         self.indices = Indices(config, core, pool)
         self.boot = f"{core.loop.rng.getrandbits(48):012x}"  # tokens of this process differ from an earlier one's
--- a/stepknot/broker/service.py
+++ b/stepknot/broker/service.py
@@ -27,13 +27,13 @@
 from stepknot.broker.queries import Queries
 from stepknot.config.settings import Config
 from stepknot.discovery.drained_endpoints import Drained
-from stepknot.discovery.endpoint_file import FileSource
+from stepknot.discovery.endpoint_file import EndpointFileWatcher
 from stepknot.net.http import HttpLimits, Request, Response
 from stepknot.net.loop import LAG_BUCKETS, Coroutine, Loop
 from stepknot.net.server import Connection, Handler, Server
 from stepknot.nodes.codec import RestCodec
-from stepknot.nodes.connection_pool import Pool
-from stepknot.nodes.rest_transport import RestBoxes
+from stepknot.nodes.connection_pool import ConnectionPool
+from stepknot.nodes.rest_transport import RestTransport
 from stepknot.zones.model import State, ZoneView
 from stepknot.zones.policy import Zones
 
@@ -60,7 +60,7 @@
 )
 Log = Callable[..., None]
 if TYPE_CHECKING:
-    from stepknot.broker.subset_driver import Subsetting
+    from stepknot.broker.subset_driver import SubsetDriver
 
 
 def host_port(host: str, port: int) -> str:
@@ -96,7 +96,7 @@
         limits = config.settings.limits
         self.name = f"{config.name}@{config.listen[0]}:{config.listen[1]}"
         budgets = self.share_descriptors(config)
-        self.pool = Pool(
+        self.pool = ConnectionPool(
             self.loop,
             config.connections,
             config.connect_timeout,
@@ -116,7 +116,7 @@
             if config.zones is not None
             else None
         )
-        boxes = RestBoxes(
+        boxes = RestTransport(
             self.loop,
             self.pool,
             RestCodec(f"stepknot/{config.listen[1]}"),
@@ -182,10 +182,10 @@
         self.subsetting = None
         if config.subset is not None:
             from stepknot.broker.subset_driver import (
-                Subsetting,
+                SubsetDriver,
             )  # not needed, and not loaded, without the block
 
-            self.subsetting = Subsetting(
+            self.subsetting = SubsetDriver(
                 self.loop,
                 replace(config.subset, own=self.own_addresses()),
                 config.settings,
@@ -194,7 +194,7 @@
                 log,
             )
             self.listed.on_list = self.subsetting.take
-        self.source = FileSource(
+        self.source = EndpointFileWatcher(
             self.loop,
             config.list_file,
             config.list_every,
@@ -398,7 +398,7 @@
             ),
         )
 
-    def show_subset(self, subsetting: Subsetting, query: dict[str, str]) -> Coroutine:
+    def show_subset(self, subsetting: SubsetDriver, query: dict[str, str]) -> Coroutine:
         """`?held=1`: with the nodes in use; `?why=NODE`: only why this one is, or is not, in use."""
         found = {"broker": self.name, **(yield from subsetting.survey("held" in query))}
         if "why" in query:
@@ -515,7 +515,7 @@
             ("extra_attempts", core.counts["extra_attempts"], "Attempts beyond each part's first"),
             ("connections_opened", pool.opened, "Connections opened to boxes"),
             ("connections_reused", pool.reused, "Calls on a kept connection"),
-            ("replies_spoilt", pool.spoilt, "Replies malformed or too long"),
+            ("replies_spoilt", pool.malformed_replies, "Replies malformed or too long"),
             ("internal_errors", core.counts["internal_errors"], "Tasks that failed unexpectedly"),
             ("decide_seconds", core.decide_time, "Time spent in the decision module"),
             ("busy_seconds", loop.busy, "Time spent in turns of the loop"),
--- a/stepknot/broker/subset_driver.py
+++ b/stepknot/broker/subset_driver.py
@@ -40,7 +40,7 @@
 Log = Callable[..., None]
 
 
-class Subsetting:
+class SubsetDriver:
     """Stands between `Drained` and the core: `take` is where the list comes in, `on_list` where the subset goes."""
 
     def __init__(
--- a/stepknot/discovery/endpoint_file.py
+++ b/stepknot/discovery/endpoint_file.py
@@ -25,7 +25,7 @@
 KEYS = {"address", "zone", "cell", "state", "size", "up_since", "kind"}
 
 
-def read_entries(path: Path, clock_offset: float) -> dict[str, ServerEntry]:
+def read_endpoint_list(path: Path, clock_offset: float) -> dict[str, ServerEntry]:
     """By address. `clock_offset`: the loop's clock less the wall's. Raises ConfigError, OSError."""
     text = path.read_text()
     if path.suffix == ".json":
@@ -92,7 +92,9 @@
     )
 
 
-def changes(old: dict[str, ServerEntry], new: dict[str, ServerEntry]) -> tuple[ServerEntry, ...]:
+def diff_endpoint_lists(
+    old: dict[str, ServerEntry], new: dict[str, ServerEntry]
+) -> tuple[ServerEntry, ...]:
     """What a broker that knows `old` must hear to know `new`."""
     gone = [
         replace(entry, state=ServerState.GONE) for server, entry in old.items() if server not in new
@@ -110,7 +112,7 @@
     )
 
 
-class FileSource:
+class EndpointFileWatcher:
     """Watches the file by its stat every `every` seconds and reports through `on_list` and `on_trouble`."""
 
     def __init__(
@@ -134,7 +136,7 @@
             found = os.stat(self.path)
             stamp = (found.st_mtime_ns, found.st_size, found.st_ino)
             if stamp != self.stamp:
-                self.take(read_entries(self.path, self.loop.clock() - self.wall()))
+                self.take(read_endpoint_list(self.path, self.loop.clock() - self.wall()))
                 self.stamp = stamp
         except (ConfigError, OSError) as error:
             self.on_trouble(str(error))
@@ -145,7 +147,7 @@
             self.heard, self.entries = True, entries
             self.on_list(ListReceived(ListKind.FULL, tuple(entries.values())))
             return
-        news = changes(self.entries, entries)
+        news = diff_endpoint_lists(self.entries, entries)
         # An entry that is the same keeps the start time as first heard.
         self.entries = {
             server: self.entries[server] if same(self.entries.get(server), entry) else entry
--- a/stepknot/nodes/connection_pool.py
+++ b/stepknot/nodes/connection_pool.py
@@ -44,7 +44,7 @@
             on_end, self.on_end = self.on_end, nobody  # no ring is left for the collector to find
             on_end(parser, outcome, reason)
 
-    def abandon(self) -> None:
+    def cancel(self) -> None:
         """Nobody waits any more: the box sees the connection go."""
         self.ended, self.on_end = True, nobody
         if self.link is not None:
@@ -68,7 +68,7 @@
         return f"[{self.host}]:{self.port}" if ":" in self.host else f"{self.host}:{self.port}"
 
 
-class Pool:
+class ConnectionPool:
     """All boxes' connections: `most` for each box at the most, kept idle for `idle` seconds."""
 
     def __init__(
@@ -84,7 +84,7 @@
         self.idle, self.reply = idle, reply
         self.boxes: dict[str, Box] = {}
         self.in_all, self.open = in_all, 0  # descriptors that the boxes' side may have, and has
-        self.opened = self.reused = self.capped = self.spoilt = 0
+        self.opened = self.reused = self.capped = self.malformed_replies = 0
 
     def box(self, address: str) -> Box:
         box = self.boxes.get(address)
@@ -144,7 +144,7 @@
             keep = parser.keep_alive and not link.closed
             exchange.end(parser, Outcome.SERVED)
         except HttpError as error:
-            self.spoilt += 1
+            self.malformed_replies += 1
             exchange.end(None, Outcome.ERROR, error.reason)
         except (OSError, Expired) as error:
             outcome = Outcome.RESET if handed_over else Outcome.NOT_CONNECTED
--- a/stepknot/nodes/rest_transport.py
+++ b/stepknot/nodes/rest_transport.py
@@ -10,8 +10,8 @@
 from stepknot.net.http import ClientParser, HttpError
 from stepknot.net.loop import Loop
 from stepknot.nodes.codec import Codec, PartReply
-from stepknot.nodes.connection_pool import Exchange, Pool
-from stepknot.nodes.transport import Load, OnReply, OutgoingAttempt, nobody
+from stepknot.nodes.connection_pool import ConnectionPool, Exchange
+from stepknot.nodes.transport import Load, OnReply, OutgoingAttempt, ignore_reply
 
 
 @dataclass(slots=True, eq=False)
@@ -23,18 +23,18 @@
     exchange: Exchange | None = None
 
 
-class RestBoxes:
+class RestTransport:
     def __init__(
         self,
         loop: Loop,
-        pool: Pool,
+        pool: ConnectionPool,
         codec: Codec,
         parts_per_call: int,
         on_event: Callable[..., None],
     ) -> None:
         self.loop, self.pool, self.codec = loop, pool, codec
         self.parts_per_call, self.on_event = parts_per_call, on_event
-        self.on_reply: OnReply = nobody
+        self.on_reply: OnReply = ignore_reply
 
     def send(self, server: str, attempts: list[OutgoingAttempt]) -> int:
         shared = [each for each in attempts if self.codec.shares_call(each.request)]
@@ -92,7 +92,7 @@
         if call is not None:
             call.live -= 1
             if not call.live and call.exchange is not None and not call.exchange.ended:
-                call.exchange.abandon()  # nobody waits: the box sees it, and may drop the work
+                call.exchange.cancel()  # nobody waits: the box sees it, and may drop the work
                 call.exchange, call.attempts = None, []
 
     def unsent(self, attempt: OutgoingAttempt) -> bool:
@@ -109,7 +109,7 @@
 
         def expire() -> None:
             if not exchange.ended:
-                exchange.abandon()
+                exchange.cancel()
                 end(None, Outcome.TIMED_OUT, "")
 
         exchange = Exchange(lambda: self.codec.encode_probe(self.pool.box(server).name), end)
--- a/stepknot/nodes/transport.py
+++ b/stepknot/nodes/transport.py
@@ -29,7 +29,7 @@
 OnReply = Callable[[Any, PartReply, Load], None]
 
 
-class Boxes(Protocol):
+class NodeTransport(Protocol):
     """Each attempt sent ends once: by a call of `on_reply`, or by `cancel`."""
 
     on_reply: OnReply
@@ -53,5 +53,5 @@
         """Close the connections on which nothing is out."""
 
 
-def nobody(attempt: Any, reply: PartReply, load: Load) -> None:
+def ignore_reply(attempt: Any, reply: PartReply, load: Load) -> None:
     """No core listens yet."""
--- a/stepknot/platform/nodes.py
+++ b/stepknot/platform/nodes.py
@@ -24,7 +24,7 @@
 from stepknot.interface import Outcome
 from stepknot.net.loop import Coroutine, Expired, Link, Loop
 from stepknot.nodes.codec import PartReply
-from stepknot.nodes.transport import Load, OnReply, OutgoingAttempt, nobody
+from stepknot.nodes.transport import Load, OnReply, OutgoingAttempt, ignore_reply
 from stepknot.platform import frames
 
 CHUNK = 64 * 1024
@@ -115,7 +115,7 @@
             most,
             on_event,
         )
-        self.on_reply: OnReply = nobody
+        self.on_reply: OnReply = ignore_reply
         self.nodes: dict[str, Node] = {}
         self.dirty: dict[Connection, None] = {}  # with something to write at the turn's end
         self.opened = self.capped = self.spoilt = 0
--- a/stepknot/simulation/day.py
+++ b/stepknot/simulation/day.py
@@ -19,7 +19,7 @@
 
 from stepknot.net.http import ClientParser, HttpError
 from stepknot.net.loop import Coroutine, Expired, Loop
-from stepknot.nodes.connection_pool import Exchange, Pool
+from stepknot.nodes.connection_pool import ConnectionPool, Exchange
 from stepknot.simulation import clients, corpus
 from stepknot.simulation.fleet import Box, Broker, Fleet, read_ready, readable
 from stepknot.simulation.links import Rule
@@ -52,7 +52,7 @@
         self.rng = random.Random(seed + 1)
         self.client = Tap(fleet.folder / "client.tap", "client")
         self.events = Tap(fleet.folder / "fleet.tap", "fleet")
-        self.pool = Pool(self.loop, 8, 1.0, 5.0, 1 << 20)
+        self.pool = ConnectionPool(self.loop, 8, 1.0, 5.0, 1 << 20)
         self.asked = self.open = 0
         self.factor, self.at_once, self.hot = 1.0, False, ""
         self.counts: Counter[str] = Counter()
--- a/stepknot/simulation/scale_run.py
+++ b/stepknot/simulation/scale_run.py
@@ -181,7 +181,7 @@
         parser = yield from done.wait()
         timer.cancel()
         if parser is None:
-            exchange.abandon()
+            exchange.cancel()
             return None
         return parser.body() if parser.status == 200 else None
 
--- a/stepknot/simulation/stand_in_node.py
+++ b/stepknot/simulation/stand_in_node.py
@@ -22,13 +22,13 @@
 from stepknot.broker.indices import index_of
 from stepknot.config.hcl import ConfigError
 from stepknot.config.settings import Config, Index
-from stepknot.discovery.endpoint_file import read_entries
+from stepknot.discovery.endpoint_file import read_endpoint_list
 from stepknot.interface import Effect, Outcome, Rules
 from stepknot.net.http import ClientParser, HttpError, HttpLimits, Request, Response
 from stepknot.net.loop import Coroutine, Loop, Park, Signal
 from stepknot.net.server import Connection, Server
 from stepknot.nodes.codec import LOAD_HEADER, NAMED
-from stepknot.nodes.connection_pool import Exchange, Pool
+from stepknot.nodes.connection_pool import ConnectionPool, Exchange
 from stepknot.search.errors import RequestError
 from stepknot.search.request import parse_search
 from stepknot.search.routing import shard_of
@@ -160,7 +160,7 @@
         self.window = max(windows, default=0.0)
         self.stamps: dict[tuple[str, int, str], int] = {}
         self.log: deque[dict[str, Any]] = deque(maxlen=MOST_LOG)
-        self.pool = Pool(loop, 8, 0.5, 10.0, 256 * 1024**2)
+        self.pool = ConnectionPool(loop, 8, 0.5, 10.0, 256 * 1024**2)
         self.indices = dict(config.indices)
         self.shards = self.build()
         limits = HttpLimits(idle=600.0, first_byte=600.0, body=256 * 1024**2)
@@ -523,7 +523,7 @@
 
     def others(self) -> list[str]:
         try:
-            entries = read_entries(self.config.list_file, 0.0)
+            entries = read_endpoint_list(self.config.list_file, 0.0)
         except (ConfigError, OSError):
             return []
         return [
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -10,7 +10,7 @@
 from stepknot.cli.main import cli
 from stepknot.config.hcl import ConfigError, parse
 from stepknot.config.settings import load
-from stepknot.discovery.endpoint_file import changes, read_entries
+from stepknot.discovery.endpoint_file import diff_endpoint_lists, read_endpoint_list
 from stepknot.interface import Effect, ServerState
 from stepknot.simulation.fleet import settings_text
 
@@ -163,12 +163,12 @@
         '{"boxes": [{"address": "127.0.0.1:1", "cell": 1, "zone": "a"}, {"address": "[::1]:2"}]}'
     )
     two.write_text('box "127.0.0.1:1" {\n  cell = 1\n  zone = "a"\n  state = "draining"\n}\n')
-    old, new = read_entries(one, 0.0), read_entries(two, 0.0)
-    assert [(each.server, each.state) for each in changes(old, new)] == [
+    old, new = read_endpoint_list(one, 0.0), read_endpoint_list(two, 0.0)
+    assert [(each.server, each.state) for each in diff_endpoint_lists(old, new)] == [
         ("[::1]:2", ServerState.GONE),
         ("127.0.0.1:1", ServerState.DRAINING),
     ]
-    assert changes(old, old) == ()
+    assert diff_endpoint_lists(old, old) == ()
 
 
 @pytest.mark.parametrize(
@@ -189,4 +189,4 @@
     path = tmp_path / "boxes.json"
     path.write_text(text)
     with pytest.raises(ConfigError):
-        read_entries(path, 0.0)
+        read_endpoint_list(path, 0.0)
--- a/tests/subsets/test_driver.py
+++ b/tests/subsets/test_driver.py
@@ -15,7 +15,7 @@
 import orjson
 import pytest
 
-from stepknot.broker.subset_driver import MAX_HANDED, MAX_TOLD, SLICE, Subsetting
+from stepknot.broker.subset_driver import MAX_HANDED, MAX_TOLD, SLICE, SubsetDriver
 from stepknot.cli.serve import make
 from stepknot.config.settings import load
 from stepknot.discovery.drained_endpoints import Drained
@@ -56,7 +56,7 @@
     def __post_init__(self) -> None:
         self.loop = Loop(self.clock, on_error=lambda name, error: self.errors.append(error))
         self.listed = Drained(self.take)
-        self.own = Subsetting(
+        self.own = SubsetDriver(
             self.loop,
             self.settings,
             self.fleet,
