--- a/stepknot/cli/entry.py
+++ b/stepknot/cli/entry.py
@@ -1,4 +1,4 @@
-"""Where the installed command begins: without the broker's libraries it says what to install."""
+"""Entry point of the installed command; without the broker's libraries it prints what to install."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 
 def main() -> None:
+    """Run the command line; exit code 2 where a library is missing."""
     try:
         from stepknot.cli.main import cli
     except ModuleNotFoundError as error:
--- a/stepknot/cli/logs.py
+++ b/stepknot/cli/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: a JSON line an event on standard error, quieter events left out below the level."""
+"""Structured logs: one JSON line an event on standard error, by level."""
 
 from __future__ import annotations
 
@@ -13,6 +13,15 @@
 
 
 def make_log(level: str, **bound: object) -> Callable[..., None]:
+    """Make the function that logs an event.
+
+    Args:
+        level: The lowest level that is written: debug, info or error.
+        bound: Fields that each line has.
+
+    Returns:
+        A function that takes an event's name and its fields; the event's name decides its level.
+    """
     structlog.configure(
         processors=[
             structlog.processors.TimeStamper(fmt="iso", utc=True),
@@ -24,13 +33,15 @@
         logger_factory=structlog.WriteLoggerFactory(sys.stderr),
     )
     log = structlog.get_logger().bind(**bound)
-    debug, info, error = log.debug, log.info, log.error
-    if level != "debug":  # not worth a call for each query
-
-        def debug(event: str, **fields: object) -> None:
-            return None
+    info, error = log.info, log.error
+    # Below the level the logger's own call is left out: there are some events for each query.
+    debug = log.debug if level == "debug" else _write_nothing
 
     def note(event: str, **fields: object) -> None:
         (debug if event in QUIET else error if event in ERRORS else info)(event, **fields)
 
     return note
+
+
+def _write_nothing(_event: str, **_fields: object) -> None:
+    """Take an event that the level leaves out."""
--- a/stepknot/cli/serve.py
+++ b/stepknot/cli/serve.py
@@ -1,4 +1,4 @@
-"""What `stepknot serve` puts together: a service with its fronts."""
+"""Puts together what `stepknot serve` runs: a service with its frontends."""
 
 from __future__ import annotations
 
@@ -16,6 +16,17 @@
 
 
 def make(config: Config, log: Log, load_again: Callable[[], Config] | None = None) -> Service:
+    """Make a service with the search frontend and, where the settings have it, the GraphQL one.
+
+    Args:
+        config: The settings.
+        log: Takes an event's name and its fields.
+        load_again: Reads the settings anew at SIGHUP; none: SIGHUP does nothing.
+
+    Raises:
+        OSError: An address cannot be listened on.
+        Unfit: The voter's state belongs to another voter or version.
+    """
     make_graph: Callable[[Service], GraphFront] | None = None
     if config.graphql is not None:
         # Imported here: where no graph is served, the module is not loaded.
@@ -34,6 +45,11 @@
 
 
 def run(config: Config, log: Log, load_again: Callable[[], Config] | None = None) -> int:
+    """Serve until SIGTERM or SIGINT, after one JSON line of addresses on standard output.
+
+    Returns:
+        The exit code: 0, or 2 where an address is taken or the voter's state cannot be used.
+    """
     try:
         service = make(config, log, load_again)
     except Unfit as error:
--- a/tests/config/test_membership.py
+++ b/tests/config/test_membership.py
@@ -9,8 +9,10 @@
 import pytest
 from click.testing import CliRunner
 
-from stepknot.cli.admin import peer_story, peers_table
+from stepknot.cli.admin_client import as_view
 from stepknot.cli.main import cli
+from stepknot.cli.tables import explain_member, members_table
+from stepknot.cli.views import MembersView
 from stepknot.config.hcl import ConfigError
 from stepknot.config.settings import load
 from stepknot.simulation.fleet import Fleet, settings_text
@@ -129,16 +131,16 @@
         "isolated_why": "only 1 of 3 neighbours are heard",
         "members": [row],
     }
-    table = peers_table(found)
+    view = as_view(found, MembersView)
+    table = members_table(view)
     assert (
         "between 2 and 3 brokers, not sure" in table
         and "ISOLATED: only 1 of 3" in table
         and "suspect" in table
     )
-    story = peer_story(found, "b1")
-    assert (
-        story is not None and "b2 had nothing younger" in story and peer_story(found, "b9") is None
-    )
+    evidence = explain_member(view, "b1")
+    assert evidence is not None and "b2 had nothing younger" in evidence
+    assert explain_member(view, "b9") is None
 
 
 def test_the_platforms_broker_does_not_load_membership() -> None:
--- a/tests/leases/test_processes.py
+++ b/tests/leases/test_processes.py
@@ -20,7 +20,7 @@
 
 import pytest
 
-from stepknot.cli.admin import ask
+from stepknot.cli.admin_client import query_admin
 from stepknot.simulation.fleet import Fleet
 from tests.processes import Brokers
 
@@ -38,7 +38,7 @@
 
 class Owners(Brokers):
     def owner_view(self, name: str) -> dict[str, Any]:
-        return ask(("127.0.0.1", self[name].admin), "/owner")
+        return query_admin(("127.0.0.1", self[name].admin), "/owner")
 
     def job(self, name: str) -> dict[str, Any]:
         (row,) = self.owner_view(name)["jobs"]
@@ -224,7 +224,9 @@
     brokers.until(lambda: brokers.drains(watching)["steps"] >= 1)
     brokers.stop(first)
     second = brokers.wait_owner(but=first)
-    assert ask(("127.0.0.1", brokers[second].admin), "/owner/yield?job=drains", "POST")["yielded"]
+    assert query_admin(("127.0.0.1", brokers[second].admin), "/owner/yield?job=drains", "POST")[
+        "yielded"
+    ]
     third = brokers.wait_owner(but=second)
     epoch = brokers.job(third)["epoch"]
     brokers.go_on(first)
@@ -329,7 +331,9 @@
     brokers.wait_owner()
     brokers.end("b0")  # now its vote is needed, also for the next owner
     second = brokers.wait_owner(but="b0")
-    assert ask(("127.0.0.1", brokers[second].admin), "/owner/yield?job=drains", "POST")["yielded"]
+    assert query_admin(("127.0.0.1", brokers[second].admin), "/owner/yield?job=drains", "POST")[
+        "yielded"
+    ]
     brokers.wait_owner(but=second)
 
 
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -13,7 +13,7 @@
 import orjson
 import pytest
 
-from stepknot.cli.admin import ask
+from stepknot.cli.admin_client import query_admin
 from stepknot.simulation.audit import Records, audit
 from stepknot.simulation.day import run_day
 from stepknot.simulation.fleet import Fleet, read_ready
@@ -204,7 +204,7 @@
         brokers.go_on("b2")
         brokers.until(lambda: bool(brokers.view("b2")["stepped_aside"]))
         assert any(row["event"] == "peers_stepped_aside" for row in brokers.logged("b2"))
-        assert not ask(("127.0.0.1", spare.admin), "/peers")["stepped_aside"]
+        assert not query_admin(("127.0.0.1", spare.admin), "/peers")["stepped_aside"]
     finally:
         assert spare.process is not None
         spare.process.terminate()
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from stepknot.cli.admin import ask
+from stepknot.cli.admin_client import query_admin
 from stepknot.simulation.fleet import Broker, Fleet, read_ready
 from stepknot.simulation.links import Links
 
@@ -31,7 +31,7 @@
         return next(each for each in self.fleet.brokers if each.name == name)
 
     def view(self, name: str) -> dict[str, Any]:
-        return ask(("127.0.0.1", self[name].admin), "/peers")
+        return query_admin(("127.0.0.1", self[name].admin), "/peers")
 
     def alive(self, name: str) -> set[str]:
         return {row["name"] for row in self.view(name)["members"] if row["state"] == "alive"}
--- a/tests/subsets/test_config.py
+++ b/tests/subsets/test_config.py
@@ -10,8 +10,10 @@
 import pytest
 from click.testing import CliRunner
 
-from stepknot.cli.admin import subset_story, subset_table
+from stepknot.cli.admin_client import as_view
 from stepknot.cli.main import cli
+from stepknot.cli.tables import explain_node, subset_table
+from stepknot.cli.views import SubsetView
 from stepknot.config.hcl import ConfigError
 from stepknot.config.settings import load
 from stepknot.simulation.fleet import settings_text
@@ -183,15 +185,15 @@
             {"zone": "a", "tier": 0, "listed": 9, "live": 8, "warm": 4, "cold": 1, "draining": 1}
         ],
     }
-    table = subset_table(found)
+    table = subset_table(as_view(found, SubsetView))
     assert (
         "eu-7 in zone a, one of 40 brokers: 2 to 3 warm nodes a cell" in table
         and "3 by the list" in table
     )
     assert "1 entries left out" in table and "2.1 ms" in table
-    assert subset_table({"broker": "b", "off": "ValueError: x", "nodes": 9}) == (
-        "b: ALL 9 NODES ARE USED, for a defect: ValueError: x"
-    )
+    assert subset_table(
+        as_view({"broker": "b", "off": "ValueError: x", "nodes": 9}, SubsetView)
+    ) == ("b: ALL 9 NODES ARE USED, for a defect: ValueError: x")
     why = {
         "server": "n1",
         "cell": 2,
@@ -207,7 +209,8 @@
         "cold_share": 0.5,
         "sharers": 20.0,
     }
-    story = subset_story({"broker": "b", "why": why})
+    story = explain_node(as_view({"broker": "b", "why": why}, SubsetView))
+    assert story is not None
     assert (
         "n1 is in use by b: it is cold" in story and "by preference 2 of 9 nodes of cell 2" in story
     )
--- a/tests/subsets/test_processes.py
+++ b/tests/subsets/test_processes.py
@@ -19,7 +19,7 @@
 import orjson
 import pytest
 
-from stepknot.cli.admin import ask
+from stepknot.cli.admin_client import query_admin
 from stepknot.simulation.audit import Records, audit
 from stepknot.simulation.day import run_day
 from stepknot.simulation.fleet import Box, Fleet
@@ -55,7 +55,7 @@
             own.with_suffix(".new").replace(own)
 
     def subset(self, name: str) -> dict[str, Any]:
-        return ask(("127.0.0.1", self[name].admin), "/subset?held=1")
+        return query_admin(("127.0.0.1", self[name].admin), "/subset?held=1")
 
     def held(self, name: str, *states: str) -> set[str]:
         return {
@@ -73,7 +73,7 @@
         return {
             server
             for server in self.held(name)
-            if ask(admin, f"/subset?why={server}")["why"]["place"] < SIZE
+            if query_admin(admin, f"/subset?why={server}")["why"]["place"] < SIZE
         }
 
     def per_cell(self, name: str, *states: str) -> dict[int, int]:
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -20,7 +20,6 @@
     "stepknot/broker/core.py": 482,
     "stepknot/broker/queries.py": 456,
     "stepknot/broker/service.py": 602,
-    "stepknot/cli/main.py": 893,
     "stepknot/config/graphql.py": 597,
     "stepknot/config/settings.py": 408,
     "stepknot/frontends/graphql/app.py": 436,
