--- /dev/null
+++ b/tests/test_log_events.py
@@ -0,0 +1,171 @@
+"""The page of log events names exactly the events that the code logs."""
+
+import ast
+import re
+from collections import Counter
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+from stepknot.cli import logs as program_logs
+from stepknot.platform import log as platform_logs
+
+pytestmark = pytest.mark.cpu_only
+
+ROOT = Path(__file__).parent.parent
+PAGE = (ROOT / "docs/operators/log-events.md").read_text()
+# Functions and methods whose first argument is an event's name.
+LOG_FUNCTIONS = {"log", "on_event", "log_event"}
+# Lists of (event, fields) that a driver logs later.
+EVENT_LISTS = {"events"}
+LEVELS = {"debug", "info", "error"}
+# Events that have no row yet. This list is what is left; it only shrinks.
+WITHOUT_A_ROW = {
+    "admission_changed",
+    "admission_entry_ended",
+    "admission_off",
+    "admission_refused",
+    "admission_refused_more",
+    "admission_state_not_taken",
+    "bad_request",
+    "box_list_not_taken",
+    "box_listed",
+    "call_sent",
+    "decided",
+    "descriptors",
+    "discovery_failed",
+    "drains_changed",
+    "internal_error",
+    "job_lost",
+    "job_owned",
+    "known_list_not_taken",
+    "ledger_not_understood",
+    "list_names_this_broker",
+    "node_refused_frame",
+    "node_spoilt",
+    "peer_changed",
+    "peers_isolated",
+    "peers_not_isolated",
+    "peers_only_seed_is_this_broker",
+    "peers_stepped_aside",
+    "query_ended",
+    "reload_refused",
+    "reloaded",
+    "serving",
+    "slow_turn",
+    "stopped",
+    "stopping",
+    "subset_changed",
+    "subset_off",
+    "voter_broken",
+    "voter_does_not_vote",
+    "voter_lost_its_memory",
+    "voter_votes",
+    "zone_changed",
+}
+
+
+def literals(node: ast.expr) -> Iterator[str]:
+    """Texts that an expression may be: a constant, or the branches of a conditional one."""
+    if isinstance(node, ast.Constant) and isinstance(node.value, str):
+        yield node.value
+    elif isinstance(node, ast.IfExp):
+        yield from literals(node.body)
+        yield from literals(node.orelse)
+
+
+def logged_by(call: ast.Call) -> Iterator[str]:
+    """Names of the events that a call logs; none where it is another call."""
+    if not call.args:
+        return
+    first, function = call.args[0], call.func
+    if isinstance(function, ast.Name) and function.id in LOG_FUNCTIONS:
+        yield from literals(first)
+    elif isinstance(function, ast.Attribute):
+        if function.attr.lstrip("_") in LOG_FUNCTIONS:
+            yield from literals(first)
+        elif (
+            function.attr == "append"
+            and isinstance(function.value, ast.Attribute)
+            and function.value.attr in EVENT_LISTS
+            and isinstance(first, ast.Tuple)
+        ):
+            yield from literals(first.elts[0])
+
+
+def logged_in(source: str) -> set[str]:
+    """Names of all events that a module logs."""
+    calls = (node for node in ast.walk(ast.parse(source)) if isinstance(node, ast.Call))
+    return {name for call in calls for name in logged_by(call)}
+
+
+def logged_events() -> set[str]:
+    return {
+        name
+        for path in sorted((ROOT / "stepknot").rglob("*.py"))
+        for name in logged_in(path.read_text())
+    }
+
+
+def rows() -> list[list[str]]:
+    """The tables' rows, as cells without their code marks."""
+    lines = (line for line in PAGE.splitlines() if re.match(r"\| (?!event \||---)", line))
+    return [
+        [cell.strip().strip("`") for cell in re.split(r"(?<!\\)\|", line)[1:-1]] for line in lines
+    ]
+
+
+@pytest.mark.parametrize(
+    ("source", "names"),
+    [
+        ('self.log("lease_lost", why=why)', {"lease_lost"}),
+        ('log("a_done" if good else "a_failed")', {"a_done", "a_failed"}),
+        ('self.core.on_event("query_ended")', {"query_ended"}),
+        ('self.events.append(("job_owned", {"job": name}))', {"job_owned"}),
+        ("math.log(2.0)", set()),
+        ('print("lease_lost")', set()),
+    ],
+)
+def test_event_is_found_by_the_call_that_logs_it(source: str, names: set[str]) -> None:
+    assert logged_in(source) == names
+
+
+def test_every_logged_event_has_a_row_and_every_row_an_event() -> None:
+    logged, shown = logged_events(), {row[0] for row in rows()}
+    assert len(logged) > 30
+    assert sorted(logged - shown - WITHOUT_A_ROW) == []
+    assert sorted(shown - logged) == []
+
+
+def test_no_event_has_two_rows() -> None:
+    assert [name for name, count in Counter(row[0] for row in rows()).items() if count > 1] == []
+
+
+def test_event_names_are_snake_case() -> None:
+    assert [name for name in logged_events() if not re.fullmatch(r"[a-z]+(_[a-z]+)*", name)] == []
+
+
+def test_rows_are_complete_and_their_levels_known() -> None:
+    assert [row for row in rows() if len(row) != 5 or not all(row) or row[1] not in LEVELS] == []
+
+
+def levels_of(event: str) -> set[str]:
+    """Levels at which the programs log an event: the platform's has debug lines of its own."""
+    if event in program_logs.QUIET:
+        return {"debug"}
+    if event in program_logs.ERRORS:
+        return {"error"}
+    if event in platform_logs.QUIET or event == "decided":  # by STEPKNOT_LOG
+        return {"debug", "info"}
+    return {"info"}
+
+
+def test_levels_are_those_of_the_programs() -> None:
+    wrong = [(name, level) for name, level, *_ in rows() if level not in levels_of(name)]
+    assert wrong == []
+
+
+def test_events_with_a_level_of_their_own_are_logged() -> None:
+    named = program_logs.QUIET | program_logs.ERRORS | platform_logs.QUIET
+    assert sorted(named - logged_events()) == []
