--- a/bench/scripted_network.py
+++ b/bench/scripted_network.py
@@ -8,6 +8,9 @@
 
 import errno
 import random
+import select
+import socket
+from collections import deque
 from collections.abc import Callable
 from typing import Any
 
@@ -26,6 +29,9 @@
     def on_turn(self, sock: ScriptedSocket) -> None:
         """One step of time: say something, end, or nothing."""
 
+    def on_shutdown(self, sock: ScriptedSocket) -> None:
+        """The code under test half-closed."""
+
 
 class ScriptedSocket:
     """One stream socket. Descriptor numbers are given in order and not used again."""
@@ -71,6 +77,22 @@
             self.inbox = self.inbox[most:]
         return data
 
+    def shutdown(self, how: int) -> None:
+        """Half-closed by the code under test."""
+        if self.reset:
+            raise OSError(errno.ENOTCONN, "not connected")
+        self.network.note("shutdown", self, bytes([how]))
+        self.peer.on_shutdown(self)
+
+    def setsockopt(self, level: int, option: int, value: object) -> None:
+        """An option, which goes into the trace where it makes a close a reset."""
+        del value
+        if (level, option) == (socket.SOL_SOCKET, socket.SO_LINGER):
+            self.network.note("linger", self, b"")
+
+    def setblocking(self, flag: bool) -> None:
+        """It never blocks."""
+
     def getsockopt(self, level: int, option: int) -> int:
         """The error of connecting."""
         del level, option
@@ -99,13 +121,45 @@
             self.events |= READ | GONE
 
 
+class ScriptedListener:
+    """A listening socket: clients wait in its queue until they are accepted."""
+
+    def __init__(self, number: int) -> None:
+        self.number = number
+        self.queue: deque[ScriptedSocket] = deque()
+        self.errors: deque[int] = deque()  # of the next calls of accept
+        self.events = 0
+        self.closed = False
+
+    def fileno(self) -> int:
+        """Its number in the network."""
+        return self.number
+
+    def getsockname(self) -> tuple[str, int]:
+        """Where it listens."""
+        return ("127.0.0.1", 1)
+
+    def accept(self) -> tuple[ScriptedSocket, tuple[str, int]]:
+        """The next client."""
+        if self.errors:
+            raise OSError(self.errors.popleft(), "accept")
+        if not self.queue:
+            raise BlockingIOError(errno.EAGAIN, "accept")
+        sock = self.queue.popleft()
+        return sock, ("10.1.0.1", sock.number)
+
+    def close(self) -> None:
+        """Closed by the code under test."""
+        self.closed = True
+
+
 class ScriptedNetwork(Network):
     """Sockets in memory; each poll lets some time pass and the peers act."""
 
     def __init__(self, trace: Trace, seed: int, make_peer: Callable[[str, int], Peer]) -> None:
         self.trace, self.chance, self.make_peer = trace, random.Random(seed), make_peer
         self.time = 100.0
-        self.socks: dict[int, ScriptedSocket] = {}
+        self.socks: dict[int, Any] = {}
         self.last_number = 0
         self.come_up = 0.4  # probabilities, for each step
         self.fail = 0.04
@@ -135,6 +189,22 @@
         self.last_number += 1
         return ScriptedSocket(self, self.last_number, self.make_peer(host, port))
 
+    def listen(self, host: str, port: int, backlog: int = 1024) -> Any:
+        """A listener without clients."""
+        del host, port, backlog
+        self.last_number += 1
+        return ScriptedListener(self.last_number)
+
+    def arrive(self, listener: ScriptedListener, peer: Peer) -> ScriptedSocket:
+        """A client connects to the listener."""
+        self.last_number += 1
+        sock = ScriptedSocket(self, self.last_number, peer)
+        sock.up = True
+        sock.events |= WRITE
+        listener.queue.append(sock)
+        listener.events |= READ
+        return sock
+
     def register(self, sock: Any) -> None:
         """The loop follows it from now on."""
         self.socks[sock.number] = sock
@@ -150,7 +220,8 @@
         """Let time pass, at most `timeout`, and return what happened to sockets."""
         self.time += min(timeout, self.chance.expovariate(1 / 0.02))
         for sock in list(self.socks.values()):
-            self.act(sock)
+            if isinstance(sock, ScriptedSocket):
+                self.act(sock)
         ready = [(each.number, each.events) for each in self.socks.values() if each.events]
         for sock in self.socks.values():
             sock.events = 0
@@ -179,4 +250,4 @@
             sock.coming = sock.coming[cut:]
             sock.events |= READ
         elif sock.ended:
-            sock.events |= READ
+            sock.events |= READ | select.EPOLLRDHUP
