--- a/bench/cold.py
+++ b/bench/cold.py
@@ -1,6 +1,6 @@
 """What many instances together send to a cold server: `python bench/cold.py [--seeds N]`.
 
-With --subsets: brokers that use some of the nodes each and share a cold one's budget (stepknot/subsets/cold.py). Exact
+With --subsets: brokers that each use some nodes and share a cold one's budget (stepknot/subsets/slow_start.py). Exact
 probabilities that their shares are more than the budget, the module's own sends, and what is used in a whole fleet.
 """
 
@@ -17,8 +17,8 @@
 from stepknot.simulation.cold import DEMANDS, Found, play
 from stepknot.simulation.cold_tails import View, mean_and_deviation, over
 from stepknot.simulation.subset_model import Cold, Fleet, cold_cell
-from stepknot.subsets.cold import ColdShare, cold_share
 from stepknot.subsets.model import DEFAULT_HOLDERS, DEFAULT_SIZE
+from stepknot.subsets.slow_start import SlowStartShare, slow_start_share
 
 AGES = (0.0, 2.0, 5.0)
 LIVE = 62
@@ -68,7 +68,7 @@
         mean, deviation = mean_and_deviation(views)
         shares = [view.share for view in views]
         click.echo(
-            f"| {name} | {', '.join(f'{each.share:.3f}' for each in shares)} | "
+            f"| {name} | {', '.join(f'{each.fraction:.3f}' for each in shares)} | "
             f"{', '.join(f'{each.divisor:.0f}' for each in shares)} | {mean:.3f} | {mean + 4 * deviation:.3f} | "
             f"{over(views, 1.0):.1e} | {over(views, 1 / COLD_USE):.1e} |"
         )
@@ -79,7 +79,7 @@
         "\ninstances  demand                           worst, in chances  used of the budget  admitted"
     )
     for instances in (600, 2000, BROKERS):
-        share = cold_share(quota(instances), LIVE, instances)
+        share = slow_start_share(quota(instances), LIVE, instances)
         for demand in DEMANDS:
             shares = [share]
             each = partial(played, instances, demand, shares)
@@ -90,7 +90,9 @@
             )
 
 
-def played(instances: int, demand: str, shares: list[ColdShare], when: tuple[float, int]) -> Found:
+def played(
+    instances: int, demand: str, shares: list[SlowStartShare], when: tuple[float, int]
+) -> Found:
     return play(instances, demand, *when, seconds=4.0, shares=shares)
 
 
--- a/bench/planted_defects/subsets.py
+++ b/bench/planted_defects/subsets.py
@@ -61,7 +61,7 @@
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
-        original="self.guarded(lambda: self.subset.count(instances))",
+        original="self.guarded(lambda: self.subset.set_instances(instances))",
         replacement="pass",
         tests=(
             "tests/subsets/test_driver.py::test_the_count_of_brokers_sets_how_many_nodes_each_uses",
@@ -77,16 +77,16 @@
     ),
     PlantedDefect(
         path="stepknot/subsets/subset.py",
-        original="        if (\n            len(self.told) >= TOLD_AT_ONCE\n            or self.told\n            and urgent\n            and not self.urgent\n            or idle\n            and (self.told or self.first)\n        ):\n",
-        replacement="        if len(self.told) >= TOLD_AT_ONCE or idle and (self.told or self.first):\n",
+        original="if self.unemitted and had_urgent_cells and not self.urgent_cells:",
+        replacement="if False:",
         tests=(
             "tests/subsets/test_driver.py::test_a_node_in_use_that_drains_while_a_long_list_is_taken_in_is_passed_on_first",
         ),
     ),
     PlantedDefect(
         path="stepknot/subsets/subset.py",
-        original="[*cell.entries, *cell.held.values()]",
-        replacement="cell.held.values()",
+        original="[*cell.ranked, *cell.selected.values()]",
+        replacement="cell.selected.values()",
         tests=(
             "tests/subsets/test_driver.py::test_no_node_takes_anothers_place_that_the_same_list_says_gone_or_draining",
         ),
@@ -100,16 +100,16 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/subsets/choice.py",
-        original="return max(LEAST_QUOTA, *found)",
-        replacement="return max(LEAST_QUOTA, *found) + 1",
+        path="stepknot/subsets/quotas.py",
+        original="return max(MIN_CELL_QUOTA, *quotas)",
+        replacement="return max(MIN_CELL_QUOTA, *quotas) + 1",
         tests=(
             "tests/simulation/test_subset_cost.py::test_a_subset_holds_exactly_its_size_of_each_shard_and_told_the_module_no_more",
         ),
     ),
     PlantedDefect(
-        path="stepknot/subsets/choice.py",
-        original="chosen[-1] = other",
+        path="stepknot/subsets/selection.py",
+        original="selected[-1] = of_other_zone",
         replacement="pass",
         tests=(
             "tests/subsets/test_choice.py::test_the_chosen_are_the_first_but_for_one_of_another_zone_and_one_of_the_nearest",
@@ -117,8 +117,8 @@
         invariant="S2",
     ),
     PlantedDefect(
-        path="stepknot/subsets/choice.py",
-        original="if all(tier(entry.zone) > nearest for entry in chosen):",
+        path="stepknot/subsets/selection.py",
+        original="if all(tier(entry.zone) > nearest for entry in selected):",
         replacement="if False:",
         tests=(
             "tests/subsets/test_choice.py::test_the_chosen_are_the_first_but_for_one_of_another_zone_and_one_of_the_nearest",
@@ -126,15 +126,15 @@
         invariant="S3",
     ),
     PlantedDefect(
-        path="stepknot/subsets/choice.py",
-        original="math.floor(min(holders * live / instances, float(live)) + dither)",
-        replacement="math.floor(min(holders * live / instances, float(live)))",
+        path="stepknot/subsets/quotas.py",
+        original="math.floor(exact + dither)",
+        replacement="math.floor(exact)",
         tests=("tests/subsets/test_choice.py::test_rounding_by_a_draw_keeps_the_mean_of_holders",),
         invariant="S6",
     ),
     PlantedDefect(
-        path="stepknot/subsets/subset.py",
-        original="if shape.reach > 1:",
+        path="stepknot/subsets/cell_selector.py",
+        original="if layout.reach > 1:",
         replacement="if False:",
         tests=(
             "tests/subsets/test_subset.py::test_a_shard_whose_one_cell_is_all_cold_is_served_from_its_other",
@@ -143,16 +143,16 @@
     ),
     PlantedDefect(
         path="stepknot/subsets/subset.py",
-        original="self.mark(heapq.heappop(self.warming)[1], Cause.WARM, self.dirty)",
-        replacement="self.dirty.setdefault(heapq.heappop(self.warming)[1], Cause.WARM)",
+        original="self._mark_changed(number, ChangeCause.WARM)",
+        replacement="self._stale_cells.setdefault(number, ChangeCause.WARM)",
         tests=(
             "tests/subsets/test_subset.py::test_a_cell_beside_gives_more_once_the_last_warm_node_drains_and_less_once_others_are_warm",
         ),
         invariant="S4",
     ),
     PlantedDefect(
-        path="stepknot/subsets/subset.py",
-        original="if unread.whole or self.pending is None:",
+        path="stepknot/subsets/list_intake.py",
+        original="if read.is_snapshot or self.pending is None:",
         replacement="if self.pending is None:",
         tests=(
             "tests/subsets/test_subset.py::test_the_subset_is_a_function_of_the_list_whatever_the_way_to_it",
@@ -161,8 +161,8 @@
     ),
     PlantedDefect(
         path="stepknot/subsets/subset.py",
-        original="        if (\n            len(self.told) >= TOLD_AT_ONCE\n            or self.told\n            and urgent\n            and not self.urgent\n            or idle\n            and (self.told or self.first)\n        ):\n",
-        replacement="        if len(self.told) >= TOLD_AT_ONCE or idle and (self.told or self.first):\n",
+        original="if self.unemitted and had_urgent_cells and not self.urgent_cells:",
+        replacement="if False:",
         tests=(
             "tests/subsets/test_subset.py::test_what_drains_is_told_with_its_replacement_before_a_long_list_is_taken_in",
         ),
@@ -170,8 +170,8 @@
     ),
     PlantedDefect(
         path="stepknot/subsets/subset.py",
-        original="self.take_words([*cell.entries, *cell.held.values()])",
-        replacement="self.take_words(cell.held.values())",
+        original="self._put_newest([*cell.ranked, *cell.selected.values()])",
+        replacement="self._put_newest(cell.selected.values())",
         tests=(
             "tests/subsets/test_subset.py::test_a_node_that_drains_by_a_list_in_work_does_not_stand_in_for_another",
         ),
@@ -179,8 +179,8 @@
     ),
     PlantedDefect(
         path="stepknot/subsets/subset.py",
-        original="(word.state, word.up_since) != (entry.state, entry.up_since)",
-        replacement="word.state != entry.state",
+        original="(newest.state, newest.up_since) != (entry.state, entry.up_since)",
+        replacement="newest.state != entry.state",
         tests=(
             "tests/subsets/test_subset.py::test_a_held_node_that_is_another_process_is_no_longer_taken_for_warm",
         ),
@@ -188,38 +188,38 @@
     ),
     PlantedDefect(
         path="stepknot/subsets/subset.py",
-        original="        self.told += [\n            replace(entry, state=ServerState.GONE)\n            for entry in left\n            if not self.index.held(entry.server)\n        ]\n",
-        replacement="        self.told += [replace(entry, state=ServerState.GONE) for entry in left]\n",
+        original="            if not self.index.selected(entry.server)\n",
+        replacement="",
         tests=(
             "tests/subsets/test_subset.py::test_a_node_that_moves_to_another_cell_is_not_told_to_be_gone_after_it_entered",
         ),
     ),
     PlantedDefect(
         path="stepknot/subsets/subset.py",
-        original="self.heard, self.first = True, event.kind",
-        replacement="self.heard = True",
+        original="self._first_kind = event.kind",
+        replacement="pass",
         tests=(
             "tests/subsets/test_subset.py::test_the_first_list_is_told_also_where_nothing_of_it_is_used",
         ),
     ),
     PlantedDefect(
-        path="stepknot/subsets/subset.py",
-        original="READ_AT_ONCE = 1024",
-        replacement="READ_AT_ONCE = 1_000_000",
+        path="stepknot/subsets/list_intake.py",
+        original="READ_ENTRIES = 1024",
+        replacement="READ_ENTRIES = 1_000_000",
         tests=("tests/subsets/test_subset.py::test_no_unit_grows_with_the_list",),
     ),
     PlantedDefect(
-        path="stepknot/subsets/subset.py",
-        original="            elif (\n                len(warm) < quota\n                and len(cold) < quota\n                and share.may_send(self.index.drawn(entry.server))\n            ):\n",
-        replacement="            elif share.may_send(self.index.drawn(entry.server)):\n",
+        path="stepknot/subsets/cell_selector.py",
+        original="has_room = len(warm) < cell.quota and len(warming_up) < cell.quota",
+        replacement="has_room = True",
         tests=(
             "tests/subsets/test_subset.py::test_of_a_cell_that_is_all_cold_a_quota_is_used_and_of_some_cold_what_ranks_before_a_warm_one",
         ),
         invariant="S9",
     ),
     PlantedDefect(
-        path="stepknot/subsets/cold.py",
-        original="max(mean + SPREAD * math.sqrt(mean * (1.0 - share)), 1.0)",
+        path="stepknot/subsets/slow_start.py",
+        original="max(mean + KEPT_DEVIATIONS * math.sqrt(mean * (1.0 - fraction)), 1.0)",
         replacement="max(mean, 1.0)",
         tests=(
             "tests/subsets/test_cold.py::test_alike_views_are_over_the_budget_once_in_a_thousand_and_never_over_what_is_spare",
@@ -227,7 +227,7 @@
         invariant="S8",
     ),
     PlantedDefect(
-        path="stepknot/subsets/cold.py",
+        path="stepknot/subsets/slow_start.py",
         original="if divisor >= instances:",
         replacement="if False:",
         tests=(
@@ -236,9 +236,9 @@
         invariant="S8",
     ),
     PlantedDefect(
-        path="stepknot/subsets/cold.py",
-        original="share = min(1.0, ELIGIBLE * quota / max(live, 1))",
-        replacement="share = min(1.0, ELIGIBLE * quota / max(live, 1)) / 2",
+        path="stepknot/subsets/slow_start.py",
+        original="fraction = min(1.0, ELIGIBLE_FACTOR * quota / max(live_count, 1))",
+        replacement="fraction = min(1.0, ELIGIBLE_FACTOR * quota / max(live_count, 1)) / 2",
         tests=("tests/subsets/test_subset.py::test_what_is_used_of_any_fleet",),
         invariant="S8",
     ),
--- a/bench/scale_decide.py
+++ b/bench/scale_decide.py
@@ -51,7 +51,7 @@
     TimerDue,
 )
 from stepknot.logic import Aggregator
-from stepknot.subsets.model import Shape, SubsetSettings
+from stepknot.subsets.model import CellLayout, SubsetSettings
 from stepknot.subsets.subset import Subset
 
 Plan = Callable[[Sequence[ServerEntry], str], list[ServerEntry]]
@@ -83,7 +83,9 @@
 
 
 def make_subset(cells: int, identity: str) -> Subset:
-    return Subset(SubsetSettings(identity, zone="z0"), Shape(cells, 1, RULES.cold_time), BROKERS)
+    return Subset(
+        SubsetSettings(identity, zone="z0"), CellLayout(cells, 1, RULES.cold_time), BROKERS
+    )
 
 
 def subset(entries: Sequence[ServerEntry], identity: str) -> list[ServerEntry]:
--- a/bench/scale_subset.py
+++ b/bench/scale_subset.py
@@ -31,16 +31,16 @@
 
 def taken(entries: Sequence[ServerEntry], shards: int, identity: str) -> Subset:
     subset = make_subset(shards, identity)
-    subset.take(ListReceived(ListKind.FULL, tuple(entries)))
-    subset.finish(BEGAN)
+    subset.on_watch_event(ListReceived(ListKind.FULL, tuple(entries)))
+    subset.run_to_end(BEGAN)
     return subset
 
 
 def units_of(subset: Subset, event: ListReceived) -> list[float]:
     """Seconds of processor time of each unit of work that a list takes, its arrival first."""
     gc.collect()
-    took = [seconds_of(lambda: subset.take(event))]
-    while subset.busy:
+    took = [seconds_of(lambda: subset.on_watch_event(event))]
+    while subset.has_work:
         begun = time.process_time_ns()
         subset.advance(BEGAN)
         took.append((time.process_time_ns() - begun) / NANOSECONDS)
@@ -66,11 +66,11 @@
     size, subset = bytes_of(lambda: taken(entries, shards, identity))
     gathered.add("memory beside the list", "bytes", nodes, size)
     gathered.add("the same whole list again", "ms", nodes, sum(units_of(subset, whole)) * 1e3)
-    held = next(iter(subset.index.cells[0].held.values()))
+    held = next(iter(subset.index.cells[0].selected.values()))
     drained = ListReceived(ListKind.CHANGES, (replace(held, state=ServerState.DRAINING),))
     gathered.add("one held node drains", "us", nodes, sum(units_of(subset, drained)) * 1e6)
     other = next(
-        entry for entry in entries if entry.cell == 1 and not subset.index.held(entry.server)
+        entry for entry in entries if entry.cell == 1 and not subset.index.selected(entry.server)
     )
     gone = ListReceived(ListKind.CHANGES, (replace(other, state=ServerState.GONE),))
     gathered.add("one other node goes", "us", nodes, sum(units_of(subset, gone)) * 1e6)
@@ -84,7 +84,7 @@
 
         def both(seed: int = seed) -> tuple[Subset, Driver]:
             subset = taken(entries, shards, f"broker-{seed}")
-            held = list(subset.index.in_use())
+            held = list(subset.index.selected_entries())
             return subset, Driver(make_settings(shards), held, seed)
 
         size, _ = bytes_of(both)
--- a/bench/trace_packages/subsets.py
+++ b/bench/trace_packages/subsets.py
@@ -25,10 +25,11 @@
     Settings,
 )
 from stepknot.net.loop import Loop
-from stepknot.subsets.choice import cell_quota, draw, holders_quota, score, shard_quota
-from stepknot.subsets.cold import cold_share
-from stepknot.subsets.explain import explain
-from stepknot.subsets.model import Shape, SubsetSettings
+from stepknot.subsets.explanation import explain
+from stepknot.subsets.model import CellLayout, SubsetSettings
+from stepknot.subsets.quotas import quota_for_holders, quota_for_shard, quota_for_size
+from stepknot.subsets.rendezvous import rendezvous_score, uniform_hash
+from stepknot.subsets.slow_start import slow_start_share
 from stepknot.subsets.subset import Subset
 
 EXPECTED = "03dd1f0ab67726507ae3811d50c8e8923829bc06aba425368da1657e3e6f0a3a"
@@ -81,12 +82,16 @@
         live = [chance.randrange(0, 70) for _ in range(CELLS)]
         size, reach = chance.randrange(1, 9), chance.randrange(1, 4)
         instances = chance.choice([1, 3, 30, 400, 6600, 10**9])
-        quota = cell_quota(chance.randrange(CELLS), live.__getitem__, CELLS, reach, size)
-        share = cold_share(quota, live[0], instances)
-        trace.add(quota, shard_quota(live[:reach], size), share.share, share.divisor)
-        trace.add(holders_quota(live[0], chance.choice([1.0, 64.0, 256.0]), instances, 0.5))
-        drawn = draw(f"b{chance.randrange(400)}", f"n{chance.randrange(4000)}")
-        trace.add(drawn, score(drawn, chance.choice([0.25, 1.0, 16.0])), share.may_send(drawn))
+        quota = quota_for_size(chance.randrange(CELLS), live.__getitem__, CELLS, reach, size)
+        share = slow_start_share(quota, live[0], instances)
+        trace.add(quota, quota_for_shard(live[:reach], size), share.fraction, share.divisor)
+        trace.add(quota_for_holders(live[0], chance.choice([1.0, 64.0, 256.0]), instances, 0.5))
+        drawn = uniform_hash(f"b{chance.randrange(400)}", f"n{chance.randrange(4000)}")
+        trace.add(
+            drawn,
+            rendezvous_score(drawn, chance.choice([0.25, 1.0, 16.0])),
+            share.is_eligible(drawn),
+        )
 
 
 class _Broker:
@@ -103,19 +108,19 @@
             tiers=TIERS,
             own=frozenset({f"10.0.0.{number}:9200"} if number % 7 == 0 else ()),
         )
-        self.subset = Subset(settings, Shape(CELLS, reach, COLD_TIME), brokers)
+        self.subset = Subset(settings, CellLayout(CELLS, reach, COLD_TIME), brokers)
 
     def take(self, kind: ListKind, entries: list[ServerEntry]) -> None:
-        self.subset.take(ListReceived(kind, tuple(entries)))
+        self.subset.on_watch_event(ListReceived(kind, tuple(entries)))
 
     def count(self, brokers: int) -> None:
-        self.subset.count(brokers)
+        self.subset.set_instances(brokers)
 
     def advance(self, now: float) -> bool:
         more = self.subset.advance(now)
-        for event in self.subset.out:
+        for event in self.subset.events:
             _add_event(self.trace, event)
-        self.subset.out.clear()
+        self.subset.events.clear()
         for change in self.subset.changes:
             self.trace.add(change.cell, change.cause, change.quota)
             self.trace.add(len(change.entered), *change.entered, len(change.left), *change.left)
@@ -126,7 +131,7 @@
     def finish(self, now: float) -> None:
         while self.advance(now):
             pass
-        self.trace.add(self.subset.next_warm(), self.subset.left_out)
+        self.trace.add(self.subset.next_warm_up(), self.subset.left_out)
 
     def explain(self, server: str, now: float) -> None:
         found = explain(self.subset, server, now)
--- a/stepknot/broker/subset_driver.py
+++ b/stepknot/broker/subset_driver.py
@@ -20,8 +20,8 @@
 from stepknot.discovery.drained_endpoints import Drained
 from stepknot.interface import ListKind, ListReceived, ServerEntry, ServerState, Settings
 from stepknot.net.loop import NEXT_TURN, Coroutine, Loop, Timer
-from stepknot.subsets.explain import explain
-from stepknot.subsets.model import Cause, Changed, Shape, SubsetSettings
+from stepknot.subsets.explanation import explain
+from stepknot.subsets.model import CellLayout, ChangeCause, SubsetChange, SubsetSettings
 from stepknot.subsets.subset import Subset
 
 SLICE = 0.002  # seconds of a turn: with the unit of work that ends it, well under the 5 ms for which queries may wait
@@ -55,17 +55,17 @@
         self.loop, self.listed, self.on_list, self.log = loop, listed, on_list, log
         self.settings = settings
         self.subset = Subset(
-            settings, Shape(fleet.cells, fleet.reach, fleet.rules.cold_time), fleet.instances
+            settings, CellLayout(fleet.cells, fleet.reach, fleet.rules.cold_time), fleet.instances
         )
         self.off = ""  # why the whole list is used
         self.ready: deque[ListReceived] = (
             deque()
         )  # for the core, one a turn; of MAX_HANDED entries at the most
-        self.untold: deque[Changed] = deque(maxlen=MAX_TOLD)  # the first of those in `tally`
-        self.tally: Counter[Cause] = Counter()
+        self.untold: deque[SubsetChange] = deque(maxlen=MAX_TOLD)  # the first of those in `tally`
+        self.tally: Counter[ChangeCause] = Counter()
         self.tally_nodes: Counter[str] = Counter()
         self.tally_since = 0.0
-        self.changed: Counter[Cause] = Counter()
+        self.changed: Counter[ChangeCause] = Counter()
         self.longest_slice = 0.0
         self.own_named = False
         self.turn: Timer | None = None  # the next slice
@@ -78,14 +78,14 @@
             self.on_list(self.whole(event.kind, event.entries))
             return
         begun = self.loop.clock()
-        self.guarded(lambda: self.subset.take(event))
+        self.guarded(lambda: self.subset.on_watch_event(event))
         self.note_own()
         self.begin(begun)
 
     def count(self, instances: int) -> None:
         """No more brokers than this may be there."""
         if not self.off:
-            self.guarded(lambda: self.subset.count(instances))
+            self.guarded(lambda: self.subset.set_instances(instances))
             self.begin()
 
     def note_own(self) -> None:
@@ -110,7 +110,7 @@
 
     def decide_all(self) -> None:
         """Nothing is served yet: all of it, as one event."""
-        found = self.subset.finish(self.loop.clock())
+        found = self.subset.run_to_end(self.loop.clock())
         if found:
             entries = tuple(entry for event in found for entry in event.entries)
             self.ready.append(ListReceived(found[0].kind, entries))
@@ -127,7 +127,7 @@
         else:
             self.guarded(lambda: self.work(begun + SLICE))
         self.longest_slice = max(self.longest_slice, self.loop.clock() - begun)
-        if not self.off and (self.ready or self.subset.busy):
+        if not self.off and (self.ready or self.subset.has_work):
             self.turn = self.loop.call_later(NEXT_TURN, self.slice)
 
     def work(self, until: float) -> None:
@@ -135,11 +135,11 @@
         more = True
         while more and clock() < until:
             more = subset.advance(clock())
-            if subset.out:
+            if subset.events:
                 break  # handed over before more is decided
-        for event in subset.out:
+        for event in subset.events:
             self.ready += parts(event)
-        subset.out = []
+        subset.events = []
         self.note_changes()
         if not more or clock() >= self.tally_since + TELL_WITHIN:
             self.tell_changes()
@@ -149,7 +149,7 @@
     def watch_warming(self) -> None:
         if self.warm is not None:
             self.warm.cancel()
-        at = self.subset.next_warm()
+        at = self.subset.next_warm_up()
         self.warm = self.loop.call_at(at, self.begin) if at is not None else None
 
     # --- a defect of its own
@@ -225,10 +225,10 @@
     def state(self, entry: ServerEntry, now: float) -> str:
         if entry.state is ServerState.DRAINING:
             return "draining"
-        return "cold" if self.subset.cold(entry, now) else "warm"
+        return "cold" if self.subset.selector.is_warming_up(entry, now) else "warm"
 
     def quotas(self) -> list[int]:
-        return [cell.quota for cell in self.subset.index.cells.values() if cell.entries]
+        return [cell.quota for cell in self.subset.index.cells.values() if cell.ranked]
 
     def survey(self, with_held: bool) -> Coroutine:
         """All there is to know of the subset from here, by zone. A large list is gone through in slices."""
@@ -243,11 +243,11 @@
                 "nodes": len(self.listed.entries),
             }
         for cell in list(subset.index.cells.values()):
-            for entry in cell.entries:
+            for entry in cell.ranked:
                 row = rows.setdefault(entry.zone, Counter())
                 row["listed"] += 1
                 row["live"] += entry.state is ServerState.LIVE
-            for entry in cell.held.values():
+            for entry in cell.selected.values():
                 rows.setdefault(entry.zone, Counter())[self.state(entry, now)] += 1
                 if with_held:
                     held.append(
@@ -275,13 +275,13 @@
             "near": settings.near,
             "instances": subset.instances,
             "off": "",
-            "busy": subset.busy,
+            "busy": subset.has_work,
             "cells": len(quotas),
             "quota_least": min(quotas, default=0),
             "quota_greatest": max(quotas, default=0),
             "left_out": subset.left_out,
             "longest_slice": round(self.longest_slice, 6),
-            "changes": {cause.value: self.changed[cause] for cause in Cause},
+            "changes": {cause.value: self.changed[cause] for cause in ChangeCause},
             "zones": [
                 {"zone": zone, "tier": tier(zone), **{key: rows[zone][key] for key in COLUMNS}}
                 for zone in sorted(rows, key=lambda each: (tier(each), each))
@@ -303,14 +303,14 @@
 
     def measures(self) -> list[Metric]:
         subset, now, quotas = self.subset, self.loop.clock(), self.quotas()
-        states = Counter(self.state(entry, now) for entry in subset.index.in_use())
+        states = Counter(self.state(entry, now) for entry in subset.index.selected_entries())
         held = GaugeMetricFamily("stepknot_subset_held", "Nodes in use, by state", labels=["state"])
         for state in ("warm", "cold", "draining"):
             held.add_metric([state], states[state])
         changes = CounterMetricFamily(
             "stepknot_subset_changes", "Cells that changed, by cause", labels=["cause"]
         )
-        for cause in Cause:
+        for cause in ChangeCause:
             changes.add_metric([cause.name.lower()], self.changed[cause])
         return [
             held,
@@ -323,7 +323,7 @@
             *(
                 GaugeMetricFamily(f"stepknot_subset_{name}", text, value)
                 for name, value, text in (
-                    ("listed", len(subset.index.where), "Nodes on the list"),
+                    ("listed", len(subset.index.entries), "Nodes on the list"),
                     (
                         "live",
                         sum(cell.live for cell in subset.index.cells.values()),
--- a/stepknot/simulation/cold.py
+++ b/stepknot/simulation/cold.py
@@ -4,7 +4,7 @@
 cold. Each instance heard a warm server before. `worst` is the most that any sliding window got beyond the budget N, in
 units of what chance may add, 2 x root of N + 2; `used` the mean share of N; `admitted` the share of what was asked for.
 
-With `shares` only those instances are played that may send to it (stepknot/subsets/cold.py), each by a view of its own:
+With `shares` only instances are played that may send to it (stepknot/subsets/slow_start.py), each by its own view:
 the first, the second, and so on in turn.
 """
 
@@ -32,8 +32,8 @@
     Settings,
 )
 from stepknot.logic import Aggregator
-from stepknot.subsets.choice import draw
-from stepknot.subsets.cold import ColdShare
+from stepknot.subsets.rendezvous import uniform_hash
+from stepknot.subsets.slow_start import SlowStartShare
 
 STEP = 0.05  # seconds of the clock
 BEGAN = 1000.0
@@ -76,7 +76,7 @@
 
 class World:
     def __init__(
-        self, instances: int, age: float, seed: int, shares: Sequence[ColdShare] = ()
+        self, instances: int, age: float, seed: int, shares: Sequence[SlowStartShare] = ()
     ) -> None:
         self.chance, self.settings = random.Random(seed), settings(instances)
         self.up, self.begin = BEGAN, BEGAN + age
@@ -89,7 +89,7 @@
         self.members = [
             (number, view.divisor if view else 0.0)
             for number, view in enumerate(views)
-            if view is None or view.may_send(draw(f"broker-{number} of {seed}", "cold"))
+            if view is None or view.is_eligible(uniform_hash(f"broker-{number} of {seed}", "cold"))
         ]
         self.instances = [self.start(self.begin - 20.0, sharers) for _, sharers in self.members]
 
@@ -162,7 +162,7 @@
     age: float,
     seed: int,
     seconds: float = 6.0,
-    shares: Sequence[ColdShare] = (),
+    shares: Sequence[SlowStartShare] = (),
 ) -> Found:
     """`age`: the cold server's, when the play begins."""
     world = World(instances, age, seed, shares)
--- a/stepknot/simulation/cold_tails.py
+++ b/stepknot/simulation/cold_tails.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from stepknot.subsets.cold import ColdShare, cold_share
+from stepknot.subsets.slow_start import SlowStartShare, slow_start_share
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,8 +19,8 @@
     count: int
 
     @property
-    def share(self) -> ColdShare:
-        return cold_share(self.quota, self.live, self.count)
+    def share(self) -> SlowStartShare:
+        return slow_start_share(self.quota, self.live, self.count)
 
 
 def pmf(trials: int, chance: float) -> list[float]:
@@ -49,13 +49,13 @@
 def over(views: Sequence[View], budget: float) -> float:
     """P(sum of shares > budget) of one or two views, exactly."""
     first, *rest = views
-    masses = pmf(first.brokers, first.share.share)
+    masses = pmf(first.brokers, first.share.fraction)
     if not rest:
         return tails(masses)[
             min(math.floor(budget * first.share.divisor + 1e-9) + 1, first.brokers + 1)
         ]
     (other,) = rest
-    others = tails(pmf(other.brokers, other.share.share))
+    others = tails(pmf(other.brokers, other.share.fraction))
     found = 0.0
     for count, mass in enumerate(masses):
         left = budget - count / first.share.divisor
@@ -69,9 +69,9 @@
 
 
 def mean_and_deviation(views: Sequence[View]) -> tuple[float, float]:
-    mean = sum(view.brokers * view.share.share / view.share.divisor for view in views)
+    mean = sum(view.brokers * view.share.fraction / view.share.divisor for view in views)
     variance = sum(
-        view.brokers * view.share.share * (1 - view.share.share) / view.share.divisor**2
+        view.brokers * view.share.fraction * (1 - view.share.fraction) / view.share.divisor**2
         for view in views
     )
     return mean, math.sqrt(variance)
--- a/stepknot/simulation/subset_baselines.py
+++ b/stepknot/simulation/subset_baselines.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable, Sequence
 from functools import lru_cache
 
-from stepknot.subsets.choice import draw
+from stepknot.subsets.rendezvous import uniform_hash
 
 Way = Callable[[int, int, Sequence[str], int], frozenset[str]]
 BOUND = 1.25  # of the mean: capacity of a node under bounded loads
@@ -53,14 +53,16 @@
 @lru_cache(maxsize=4)
 def assigned(brokers: tuple[int, ...], names: tuple[str, ...], size: int) -> list[frozenset[str]]:
     """All brokers in turn: each takes the next nodes on the ring, from a place of its own for each, that have room."""
-    ring = sorted((draw("ring", f"{name} {copy}"), name) for name in names for copy in range(8))
+    ring = sorted(
+        (uniform_hash("ring", f"{name} {copy}"), name) for name in names for copy in range(8)
+    )
     points = [point for point, _ in ring]
     room = dict.fromkeys(names, math.ceil(BOUND * len(brokers) * size / len(names)))
     found = []
     for broker in brokers:
         mine: set[str] = set()
         for pick in range(min(size, len(names))):
-            place = bisect_left(points, draw(f"broker-{broker}", f"pick {pick}"))
+            place = bisect_left(points, uniform_hash(f"broker-{broker}", f"pick {pick}"))
             while (name := ring[place % len(ring)][1]) in mine or not room[name]:
                 place += 1
             mine.add(name)
@@ -74,7 +76,7 @@
 
 
 def rendezvous(broker: int, brokers: int, names: Sequence[str], size: int) -> frozenset[str]:
-    return frozenset(sorted(names, key=lambda name: draw(f"broker-{broker}", name))[-size:])
+    return frozenset(sorted(names, key=lambda name: uniform_hash(f"broker-{broker}", name))[-size:])
 
 
 def corput(number: int) -> float:
--- a/stepknot/simulation/subset_cost.py
+++ b/stepknot/simulation/subset_cost.py
@@ -46,8 +46,7 @@
     TimerDue,
 )
 from stepknot.logic import Aggregator
-from stepknot.subsets.model import Shape as SubsetShape
-from stepknot.subsets.model import SubsetSettings
+from stepknot.subsets.model import CellLayout, SubsetSettings
 from stepknot.subsets.subset import Subset
 
 BEGAN = 1000.0  # the clock's first moment
@@ -338,7 +337,7 @@
         settings = SubsetSettings(
             identity, variant.size, holders=1.0, near=variant.near, zone=f"z{self.zone}"
         )
-        return Subset(settings, SubsetShape(fleet.shards, 1, RULES.cold_time), fleet.brokers)
+        return Subset(settings, CellLayout(fleet.shards, 1, RULES.cold_time), fleet.brokers)
 
     def delay(self, node: Node) -> float:
         return SAME_ZONE if node.entry.zone == f"z{self.zone}" else OTHER_ZONE
@@ -369,15 +368,15 @@
         if self.subset is None:
             self.feed(event)
         else:
-            self.subset.take(event)
+            self.subset.on_watch_event(event)
             self.choose()
 
     def choose(self) -> None:
         """All that the subset has to do, now and when a cold node is warm."""
         assert self.subset is not None
-        for event in self.subset.finish(self.world.now):
+        for event in self.subset.run_to_end(self.world.now):
             self.feed(event)
-        warm_at = self.subset.next_warm()
+        warm_at = self.subset.next_warm_up()
         if warm_at is not None and warm_at != self.wake:
             self.wake = warm_at
             self.world.at(warm_at, self.choose)
--- a/stepknot/simulation/subset_model.py
+++ b/stepknot/simulation/subset_model.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass, field, replace
 
 from stepknot.interface import ListKind, ListReceived, ServerEntry, ServerState
-from stepknot.subsets.cold import cold_share
 from stepknot.subsets.model import (
     DEFAULT_HOLDERS,
     DEFAULT_NEAR,
     DEFAULT_SIZE,
-    Shape,
+    CellLayout,
     SubsetSettings,
 )
+from stepknot.subsets.slow_start import slow_start_share
 from stepknot.subsets.subset import Subset
 
 NOW = 1000.0
@@ -75,9 +75,11 @@
         )
         found = []
         for broker, zone in enumerate(self.broker_zones()):
-            subset = Subset(self.settings(broker, zone), Shape(self.cells, 1, 10.0), self.brokers)
-            subset.take(event)
-            subset.finish(NOW)
+            subset = Subset(
+                self.settings(broker, zone), CellLayout(self.cells, 1, 10.0), self.brokers
+            )
+            subset.on_watch_event(event)
+            subset.run_to_end(NOW)
             found.append(subset)
         return found
 
@@ -90,7 +92,7 @@
         frozenset(
             server
             for cell in subset.index.cells.values()
-            for server, entry in cell.held.items()
+            for server, entry in cell.selected.items()
             if entry.state is ServerState.LIVE
         )
         for subset in subsets
@@ -143,14 +145,14 @@
 ) -> None:
     event = ListReceived(kind, tuple(entries))
     for subset in subsets:
-        subset.take(event)
-        subset.finish(NOW)
+        subset.on_watch_event(event)
+        subset.run_to_end(NOW)
 
 
 def count(subsets: Iterable[Subset], brokers: int) -> None:
     for subset in subsets:
-        subset.count(brokers)
-        subset.finish(NOW)
+        subset.set_instances(brokers)
+        subset.run_to_end(NOW)
 
 
 ONE_GOES, ONE_BACK, ONE_REPLACED = (
@@ -225,12 +227,12 @@
 def cold_sums(subsets: list[Subset], servers: Iterable[str]) -> Cold:
     found = Cold()
     cells = [
-        (subset, cell, cold_share(cell.quota, cell.live, subset.instances))
+        (subset, cell, slow_start_share(cell.quota, cell.live, subset.instances))
         for subset in subsets
         for cell in subset.index.cells.values()
     ]
     for server in servers:
-        used = [cell.held[server] for _, cell, _ in cells if server in cell.held]
+        used = [cell.selected[server] for _, cell, _ in cells if server in cell.selected]
         found.used.append(sum(1 / entry.sharers for entry in used))
         found.by_all.append(len(used) / len(subsets))
         found.may.append(
@@ -238,7 +240,7 @@
                 1 / share.divisor
                 for subset, _, share in cells
                 if subset.index.get(server) is not None
-                and share.may_send(subset.index.drawn(server))
+                and share.is_eligible(subset.index.uniform_hash(server))
             )
         )
     return found
--- a/stepknot/subsets/__init__.py
+++ b/stepknot/subsets/__init__.py
@@ -1,21 +1,38 @@
-"""Bounded subsets: which nodes of the list one broker uses, and how many brokers share a cold one.
+"""Deterministic subsetting: which nodes of the endpoint list one broker uses, and how brokers share one in slow start.
 
-Decisions only: no I/O, no clock, no chance of their own. `choice` ranks and chooses, `cold` divides a cold node's
-budget, `subset` keeps the list and the subset and says what changed. Carried out by `stepknot/broker/subset_driver.py`;
-weighed in `docs/subsets.md`. Invariants, by number in tests and planted defects:
+The package only decides: it does no I/O, reads no clock and draws no random numbers. From the bottom:
 
-S1  A shard keeps the least of `size` and of what there is of warm nodes, counted over its cells; cold ones come on top.
-S2  A cell's warm ones are in two zones at least, where the list has warm nodes of the cell in two.
-S3  One of them is of the nearest tier that has a warm one.
-S4  The live nodes of the subset are a function of (identity, count of brokers, list, time): the same after a restart,
-    whatever the order in which the list was learnt. What drains stays with those that held it, until it is gone.
-S5  A node's coming, going or change of state changes entries of its own cell and of the `reach` - 1 cells to each side.
-    Another broker's coming or going changes no entry but by the count of brokers.
-S6  A broker holds a node by a hash of both names, independent of every other broker's: brokers a node are binomial
-    around a mean of `holders` or more, and the greatest of them is bounded by it.
-S7  What is left is told after what replaces it, in one event; nothing enters that drains or is gone by the newest list
-    that is read. A held node that is no more live, or is another process, is told before lists are taken in further.
-S8  A broker sends to a cold node only if a hash of both names is under a share q that its own view gives, and divides
-    the node's budget by count x q or more: over any mix of views the expected sum of shares is the budget at most.
-S9  A cell holds no more than twice its quota of live nodes: the quota of warm ones and as many cold ones.
+- `model`: settings, the layout of cells, and the changes that are reported;
+- `rendezvous`: weighted rendezvous hashing, by which a broker ranks nodes;
+- `quotas`: how many nodes of a cell a broker uses; `selection`: which of a ranked cell it uses;
+- `slow_start`: how the capacity of a node that has just started is divided among the brokers;
+- `endpoint_index`: the endpoint list by cell, ranked; `cell_selector`: quota and selection of one cell of it;
+- `list_intake`: watch events that are not in the index yet; `warm_up_schedule`: when nodes end their slow start;
+- `subset`: composes these and emits watch events for the subset alone; it explains how long lists are processed in
+  bounded units ("sliced work");
+- `explanation`: why a node is or is not in the subset, for operators.
+
+A *cell* is a partition of the data: the nodes of one cell hold the same shards. A shard is held by `reach` cells in
+sequence (the replication span). A *held* or *selected* node is one of the subset. `stepknot/broker/subset_driver.py`
+runs the package on the broker's loop; `docs/subsets.md` has the design and its measurements.
+
+Invariants; tests and planted defects name them by number:
+
+S1  A shard has the lower of `size` and the number of warm nodes there are, counted over its cells. Nodes in slow start
+    come in addition.
+S2  The warm nodes selected of a cell are in two zones or more, where the list has warm nodes of the cell in two.
+S3  One of them is of the nearest tier that has a warm node.
+S4  The live nodes of the subset are a function of (identity, count of brokers, list, time): the same after a restart
+    and for any order of watch events. A draining node stays with the brokers that had selected it until it is gone.
+S5  A change of one node changes entries of its own cell and of the `reach` - 1 cells to each side only. Another
+    broker's start or end changes entries through the count of brokers only.
+S6  A broker selects a node by a hash of both names, independently of other brokers: the number of brokers of a node is
+    binomial around a mean of `holders` or more, and its maximum over all nodes is bounded by that.
+S7  A node that leaves the subset is emitted after its replacement, in one watch event. No node enters that is draining
+    or gone by the newest list that was read. A selected node that is no longer live, or is another process, is emitted
+    before lists are indexed further.
+S8  A broker sends to a node in slow start only if a hash of both names is under a fraction q, which follows from its
+    own view, and it divides the node's capacity by count x q or more: over any mix of views the expected sum of the
+    brokers' quotas is the capacity at most.
+S9  A cell has no more selected live nodes than twice its quota: the quota of warm ones and as many in slow start.
 """
--- a/stepknot/subsets/model.py
+++ b/stepknot/subsets/model.py
@@ -1,4 +1,4 @@
-"""What the choice of a subset is told, and what it tells: plain fields. Times in seconds by the caller's clock."""
+"""Settings of a subset and the changes that it reports. Times are seconds by the caller's clock."""
 
 from __future__ import annotations
 
@@ -6,19 +6,26 @@
 from enum import Enum
 
 DEFAULT_SIZE = 4  # replicas a shard; measured in docs/subsets.md
-# With a mean of L brokers a node the greatest of 36,000 binomial counts is at 1 + 4 / sqrt(L) of it: 1.25 here.
+# With a mean of L brokers a node the maximum of 36,000 binomial counts is 1 + 4 / sqrt(L) of it: 1.25 here.
 DEFAULT_HOLDERS = 256
-# How much better a zone is than one of the next tier. At the full size (13 zones of 4 or 5 replicas in 5 regions) 46 of
-# 100 entries are of the own zone, 67 of the own region, and no node has over 1.25 of the mean; with 8 one has (1.252).
+# How much a zone is preferred to one of the next tier. At the full size (13 zones of 4 or 5 replicas in 5 regions) 46
+# of 100 entries are of the own zone, 67 of the own region, and no node has over 1.25 of the mean; with 8 one has 1.252.
 DEFAULT_NEAR = 4.0
-MAX_COUNT = 1_000_000_000  # brokers; a count beyond it is absurd and taken for this
+MAX_BROKERS = 1_000_000_000  # a higher count is replaced by this one
 
 
 @dataclass(frozen=True, slots=True)
 class SubsetSettings:
-    """`identity` names this broker and differs from every other's. `own` are addresses of its own: never used as nodes.
-
-    `tiers`: zones by preference, best first; the own zone comes before them, zones that are not named after them.
+    """The `subset` block of one broker, with the zone and tiers of other blocks.
+
+    Attributes:
+        identity: Names this broker; it differs from every other broker's and stays the same after a restart.
+        size: Warm replicas of each shard, at least.
+        holders: Mean number of brokers that each node should have, at least.
+        near: Factor by which the weight of a node falls from one tier to the next.
+        zone: The broker's own zone.
+        tiers: Zones by preference. The own zone comes before them, zones that are not named come after them.
+        own: Addresses of this broker itself; they are never used as nodes.
     """
 
     identity: str
@@ -31,48 +38,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
-    """Which cells hold a shard, and for how long a new node is cold: from the fleet's settings."""
+class CellLayout:
+    """How the fleet's settings place shards in cells.
+
+    Attributes:
+        cells: Number of cells; shards have the same numbers.
+        reach: Replication span: shard s is held by cells s to s + reach - 1, modulo `cells`.
+        warm_up_seconds: Duration of a node's slow start.
+    """
 
     cells: int
     reach: int
-    cold_time: float
-
-
-@dataclass(frozen=True, slots=True)
-class Reason:
-    """Why a node is, or is not, in the subset. `place` counts from 0 by preference among the cell's nodes."""
-
-    server: str
-    cell: int
-    zone: str
-    tier: int
-    held: bool
-    word: str
-    place: int
-    nodes: int  # of the cell on the list
-    live: int
-    quota: int
-    score: float
-    cold_share: float  # of brokers that may send to it while it is cold
-    sharers: float  # what its cold budget is divided by, 0: it is not cold, or not held
+    warm_up_seconds: float
 
 
-class Cause(Enum):
-    """Why a cell was chosen anew."""
+class ChangeCause(Enum):
+    """Why the nodes of a cell were selected again. Values are in admin answers and log events."""
 
-    LIST = "the list"  # a node of it came, went or changed
-    QUOTA = "the list of a cell beside"  # a shard that both hold
+    LIST = "the list"  # a node of the cell came, went or changed
+    QUOTA = "the list of a cell beside"  # a cell that holds a shard together with it changed
     WARM = "a node is warm"
     COUNT = "the count of brokers"
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
-    """The subset changed in one cell, and by what."""
+class SubsetChange:
+    """The selected nodes of one cell changed: addresses that entered and left, and the cell's quota of warm nodes."""
 
     cell: int
-    cause: Cause
+    cause: ChangeCause
     entered: tuple[str, ...]
     left: tuple[str, ...]
     quota: int
--- /dev/null
+++ b/stepknot/subsets/selection.py
@@ -0,0 +1,38 @@
+"""Which nodes of a ranked cell are selected: pure functions of zones and ranks."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+
+from stepknot.interface import ServerEntry
+
+
+def tier_of(zone: str, own_zone: str, tiers: Sequence[Sequence[str]]) -> int:
+    """The preference of a zone: 0 for the broker's own, then the named tiers, then all others."""
+    if zone == own_zone:
+        return 0
+    for number, tier in enumerate(tiers, start=1):
+        if zone in tier:
+            return number
+    return len(tiers) + 1
+
+
+def select_warm(
+    ranked: Sequence[ServerEntry], quota: int, tier: Callable[[str], int]
+) -> list[ServerEntry]:
+    """The first `quota` warm nodes by rank, with one of the nearest tier (S3) and nodes of two zones (S2).
+
+    Where the first ones do not satisfy this, the last of them gives way to the next one that does.
+    """
+    selected = list(ranked[:quota])
+    rest = ranked[quota:]
+    if not selected or not rest:
+        return selected
+    nearest = min(tier(entry.zone) for entry in ranked)
+    if all(tier(entry.zone) > nearest for entry in selected):
+        selected[-1] = next(entry for entry in rest if tier(entry.zone) == nearest)
+    zones = {entry.zone for entry in selected}
+    of_other_zone = next((entry for entry in rest if entry.zone not in zones), None)
+    if len(zones) == 1 and len(selected) > 1 and of_other_zone is not None:
+        selected[-1] = of_other_zone
+    return selected
--- a/tests/subsets/following.py
+++ b/tests/subsets/following.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from stepknot.interface import ListKind, ListReceived, ServerEntry, ServerState
-from stepknot.subsets.model import Shape, SubsetSettings
+from stepknot.subsets.model import CellLayout, SubsetSettings
 from stepknot.subsets.subset import Subset
 
 NOW, COLD_TIME = 1000.0, 10.0
@@ -39,7 +39,7 @@
         values: dict[str, Any] = {"size": 4, "holders": 1.0, "zone": "a", "tiers": (("b",),)}
         self.subset = Subset(
             SubsetSettings(identity, **(values | changes)),
-            Shape(cells, reach, COLD_TIME),
+            CellLayout(cells, reach, COLD_TIME),
             instances,
         )
         self.view: dict[str, ServerEntry] = {}
@@ -49,7 +49,7 @@
 
     def take(self, kind: ListKind, entries: Iterable[ServerEntry]) -> Follower:
         entries = tuple(entries)
-        self.subset.take(ListReceived(kind, entries))
+        self.subset.on_watch_event(ListReceived(kind, entries))
         if kind is not CHANGES:
             self.truth = {}
         self.truth |= {entry.server: entry for entry in entries}
@@ -57,10 +57,14 @@
 
     def advance(self) -> bool:
         more = self.subset.advance(self.now)
-        found, self.subset.out = self.subset.out, []
+        found, self.subset.events = self.subset.events, []
         for event in found:
             self.apply(event)
-        if not (self.subset.unread or self.subset.search or self.subset.urgent):
+        if not (
+            self.subset.intake.has_unread
+            or self.subset.uncompared_cells
+            or self.subset.urgent_cells
+        ):
             stale = [
                 server
                 for server, entry in self.view.items()
@@ -76,7 +80,7 @@
     def finish(self) -> Follower:
         while self.advance():
             pass
-        assert not self.subset.told and not self.subset.out
+        assert not self.subset.unemitted and not self.subset.events
         return self
 
     def at(self, now: float) -> Follower:
@@ -100,7 +104,7 @@
 
     def held(self) -> dict[str, ServerEntry]:
         cells = self.subset.index.cells.values()
-        return {server: entry for cell in cells for server, entry in cell.held.items()}
+        return {server: entry for cell in cells for server, entry in cell.selected.items()}
 
     def warm(self, entry: ServerEntry) -> bool:
         return (
--- a/tests/subsets/test_choice.py
+++ b/tests/subsets/test_choice.py
@@ -10,17 +10,15 @@
 from hypothesis import strategies as st
 
 from stepknot.interface import ServerEntry, ServerState
-from stepknot.subsets.choice import (
-    LEAST_QUOTA,
-    cell_quota,
-    cells_of,
-    choose_warm,
-    draw,
-    holders_quota,
-    score,
-    shard_quota,
-    tier_of,
+from stepknot.subsets.quotas import (
+    MIN_CELL_QUOTA,
+    cells_of_shard,
+    quota_for_holders,
+    quota_for_shard,
+    quota_for_size,
 )
+from stepknot.subsets.rendezvous import rendezvous_score, uniform_hash
+from stepknot.subsets.selection import select_warm, tier_of
 
 pytestmark = pytest.mark.cpu_only
 
@@ -28,20 +26,26 @@
 
 
 def test_a_draw_is_of_both_names_and_their_border_counts() -> None:
-    assert draw("b1", "n1") == draw("b1", "n1")
+    assert uniform_hash("b1", "n1") == uniform_hash("b1", "n1")
     assert (
-        len({draw(broker, node) for broker, node in product(("b1", "b2", "1"), ("n1", "n2", "b1"))})
+        len(
+            {
+                uniform_hash(broker, node)
+                for broker, node in product(("b1", "b2", "1"), ("n1", "n2", "b1"))
+            }
+        )
         == 9
     )
-    assert draw("ab", "c") != draw("a", "bc")
-    assert all(0 < draw("b", f"n{number}") <= 1 for number in range(1000))
+    assert uniform_hash("ab", "c") != uniform_hash("a", "bc")
+    assert all(0 < uniform_hash("b", f"n{number}") <= 1 for number in range(1000))
 
 
 def test_brokers_draw_evenly_and_independently_for_nodes_whose_names_differ_in_a_digit() -> None:
     """Each pair of neighbouring brokers shares as many nodes of the first tenth as chance has it."""
     nodes = [f"10.0.{number // 250}.{number % 250}:9300" for number in range(2000)]
     held = [
-        {node for node in nodes if draw(f"broker-{number}", node) < 0.1} for number in range(50)
+        {node for node in nodes if uniform_hash(f"broker-{number}", node) < 0.1}
+        for number in range(50)
     ]
     assert all(abs(len(each) - 200) < 5 * math.sqrt(180) for each in held)
     common = [len(one & other) for one, other in pairwise(held)]
@@ -51,7 +55,8 @@
 def test_weights_count_in_proportion() -> None:
     """A node of twice the weight wins two races of three."""
     won = sum(
-        score(draw("b", f"x{number}"), 2.0) < score(draw("b", f"y{number}"), 1.0)
+        rendezvous_score(uniform_hash("b", f"x{number}"), 2.0)
+        < rendezvous_score(uniform_hash("b", f"y{number}"), 1.0)
         for number in range(9000)
     )
     assert abs(won - 6000) < 4 * math.sqrt(9000 * 2 / 9)
@@ -64,7 +69,7 @@
 
 @given(COUNTS, st.integers(0, 30))
 def test_a_shards_quota_is_the_least_that_is_enough(live: list[int], size: int) -> None:
-    quota = shard_quota(live, size)
+    quota = quota_for_shard(live, size)
     assert sum(min(quota, count) for count in live) >= min(size, sum(live))
     assert quota == 0 or sum(min(quota - 1, count) for count in live) < min(size, sum(live))
 
@@ -75,11 +80,11 @@
 ) -> None:
     cells = len(live)
     quotas = [
-        cell_quota(cell, lambda each: live[each], cells, reach, size) for cell in range(cells)
+        quota_for_size(cell, lambda each: live[each], cells, reach, size) for cell in range(cells)
     ]
-    assert min(quotas) >= LEAST_QUOTA
+    assert min(quotas) >= MIN_CELL_QUOTA
     for shard in range(cells):
-        mine = cells_of(shard, cells, reach)
+        mine = cells_of_shard(shard, cells, reach)
         assert len(set(mine)) == len(mine) == min(reach, cells)
         assert sum(min(quotas[cell], live[cell]) for cell in mine) >= min(
             size, sum(live[cell] for cell in mine)
@@ -92,7 +97,8 @@
 ) -> None:
     exact = min(holders * live / instances, live)
     found = [
-        holders_quota(live, holders, instances, dither / 1000 + 0.0005) for dither in range(1000)
+        quota_for_holders(live, holders, instances, dither / 1000 + 0.0005)
+        for dither in range(1000)
     ]
     assert max(found) <= live and abs(sum(found) / 1000 - exact) <= 0.002
 
@@ -100,14 +106,14 @@
 ZONED = st.lists(st.sampled_from("abcd"), max_size=12)
 
 
-@given(ZONED, st.integers(LEAST_QUOTA, 6))
+@given(ZONED, st.integers(MIN_CELL_QUOTA, 6))
 def test_the_chosen_are_the_first_but_for_one_of_another_zone_and_one_of_the_nearest(
     zones: str, quota: int
 ) -> None:
     ranked = [
         ServerEntry(f"n{place}", zone, 0, ServerState.LIVE) for place, zone in enumerate(zones)
     ]
-    chosen = choose_warm(ranked, quota, "abcd".index)
+    chosen = select_warm(ranked, quota, "abcd".index)
     assert len({entry.server for entry in chosen}) == len(chosen) == min(quota, len(ranked))
     if not ranked:
         return
@@ -125,4 +131,4 @@
     ranked = [
         ServerEntry(f"n{place}", zone, 0, ServerState.LIVE) for place, zone in enumerate("baccdd")
     ]
-    assert choose_warm(ranked, quota, "abcd".index) == ranked[:quota]
+    assert select_warm(ranked, quota, "abcd".index) == ranked[:quota]
--- a/tests/subsets/test_cold.py
+++ b/tests/subsets/test_cold.py
@@ -1,4 +1,4 @@
-"""S8: however views differ, brokers together send a cold node its budget at most. The proof is in subsets/cold.py."""
+"""S8: however views differ, brokers together send a cold node its budget at most. Proof: subsets/slow_start.py."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from stepknot.logic import COLD_USE
 from stepknot.simulation.cold import play
 from stepknot.simulation.cold_tails import View, mean_and_deviation, over, pmf
-from stepknot.subsets.choice import draw
-from stepknot.subsets.cold import SPREAD, cold_share
+from stepknot.subsets.rendezvous import uniform_hash
+from stepknot.subsets.slow_start import KEPT_DEVIATIONS, slow_start_share
 
 pytestmark = pytest.mark.cpu_only
 
@@ -28,23 +28,27 @@
 def test_a_share_is_of_the_count_and_of_the_budget_at_most(
     quota_: int, live: int, count: int
 ) -> None:
-    found = cold_share(quota_, live, count)
-    assert 0 <= found.share <= 1 and found.divisor >= max(1.0, count * found.share * (1 - 1e-12))
-    assert found.share < 1 or found.divisor >= count or quota_ * 2 >= live
-    assert not found.may_send(1.0 - found.share) and (found.share == 0 or found.may_send(1.0))
+    found = slow_start_share(quota_, live, count)
+    assert 0 <= found.fraction <= 1 and found.divisor >= max(
+        1.0, count * found.fraction * (1 - 1e-12)
+    )
+    assert found.fraction < 1 or found.divisor >= count or quota_ * 2 >= live
+    assert not found.is_eligible(1.0 - found.fraction) and (
+        found.fraction == 0 or found.is_eligible(1.0)
+    )
 
 
 @pytest.mark.parametrize("brokers", [1, 30, 200, 256])
 def test_small_fleets_divide_by_all_and_leave_nothing_to_chance(brokers: int) -> None:
     assert over([View(brokers, quota(brokers), 62, brokers)], 1.0) == 0
-    assert cold_share(quota(brokers), 62, brokers).divisor == brokers
+    assert slow_start_share(quota(brokers), 62, brokers).divisor == brokers
 
 
 def test_where_a_part_of_the_brokers_would_take_more_than_all_of_them_all_may() -> None:
     """24 of 62: 23 of 30 brokers in the mean, and four deviations more would be 32."""
-    found = cold_share(12, 31, 30)
-    assert (found.share, found.divisor) == (1.0, 30.0)
-    assert cold_share(4, 62, 1000).share < 1
+    found = slow_start_share(12, 31, 30)
+    assert (found.fraction, found.divisor) == (1.0, 30.0)
+    assert slow_start_share(4, 62, 1000).fraction < 1
 
 
 @pytest.mark.parametrize("brokers", [600, 2000, 6600, 20_000])
@@ -55,7 +59,7 @@
 ) -> None:
     view = View(brokers, quota(brokers, holders=holders) + more, 62, brokers)
     mean, deviation = mean_and_deviation([view])
-    assert mean + SPREAD * deviation <= 1 + 1e-9
+    assert mean + KEPT_DEVIATIONS * deviation <= 1 + 1e-9
     assert over([view], 1.0) < 4e-4  # four deviations of a binomial that is skew where few may
     assert over([view], SPARE) < (1e-9 if view.share.divisor > 200 else 2e-5)
 
@@ -82,11 +86,11 @@
     mean, deviation = mean_and_deviation(views)
     assert mean <= 1 + 1e-9
     parts = [
-        math.sqrt(view.count * view.share.share * (1 - view.share.share)) / view.share.divisor
+        math.sqrt(view.count * view.share.fraction * (1 - view.share.fraction)) / view.share.divisor
         for view in views
     ]
-    assert max(parts) < 1 / SPREAD
-    assert mean + SPREAD * deviation <= 1 + max(parts) * (1 + 1e-9) < SPARE
+    assert max(parts) < 1 / KEPT_DEVIATIONS
+    assert mean + KEPT_DEVIATIONS * deviation <= 1 + max(parts) * (1 + 1e-9) < SPARE
 
 
 MIXES = {
@@ -120,9 +124,12 @@
 
 def test_the_hashes_of_names_keep_to_it() -> None:
     """6,600 brokers, 200 nodes: the mean as it is reckoned, none over what is spare."""
-    share = cold_share(4, 62, 6600)
+    share = slow_start_share(4, 62, 6600)
     sums = [
-        sum(share.may_send(draw(f"broker-{broker}", f"node-{number}")) for broker in range(6600))
+        sum(
+            share.is_eligible(uniform_hash(f"broker-{broker}", f"node-{number}"))
+            for broker in range(6600)
+        )
         / share.divisor
         for number in range(200)
     ]
@@ -148,10 +155,10 @@
 ) -> None:
     """The module's own decisions for all brokers that may send, who have nothing but the cold node to send to."""
     shares = [
-        cold_share(quota(instances, size=2, holders=64.0), 62 - 31 * (place % 2), count)
+        slow_start_share(quota(instances, size=2, holders=64.0), 62 - 31 * (place % 2), count)
         for place, count in enumerate(counts)
     ]
-    assert all(share.share < 1 for share in shares)
+    assert all(share.fraction < 1 for share in shares)
     for seed in range(3 if instances < 1000 else 1):
         found = play(instances, demand, 3.0, seed, seconds=4.0, shares=shares)
         assert found.worst <= 1.0, (seed, found)
--- a/tests/subsets/test_driver.py
+++ b/tests/subsets/test_driver.py
@@ -139,7 +139,7 @@
     world = World()
     world.full(nodes())
     assert world.turns == [0] and world.taken[0].kind is ListKind.FULL
-    assert len(world.core()) == 40 * 3 and not world.own.subset.busy
+    assert len(world.core()) == 40 * 3 and not world.own.subset.has_work
 
 
 def test_a_first_list_that_comes_late_is_full_and_in_slices() -> None:
@@ -182,7 +182,7 @@
     world.turn()
     world.listed.set_out([held.server])
     turns = world.until(lambda: world.core()[held.server].state is ServerState.DRAINING)
-    assert turns <= 4 and len(world.own.subset.pending.names) > 7000, (
+    assert turns <= 4 and len(world.own.subset.intake.pending.unindexed) > 7000, (
         "the long list is hardly begun"
     )
     replacing = [
@@ -363,7 +363,7 @@
     world = World()
     world.full(nodes())
     world.turn()
-    world.own.subset.unread = None  # type: ignore[assignment]
+    world.own.subset.intake = None  # type: ignore[assignment]
     world.change(replace(next(iter(world.core().values())), state=ServerState.DRAINING))
     assert world.own.off and world.core() == everything(world) and len(world.core()) == 400
 
--- a/tests/subsets/test_subset.py
+++ b/tests/subsets/test_subset.py
@@ -13,9 +13,10 @@
 from hypothesis import strategies as st
 
 from stepknot.interface import ListKind, ServerEntry
-from stepknot.subsets.choice import cells_of, draw
-from stepknot.subsets.explain import explain
-from stepknot.subsets.subset import TOLD_AT_ONCE
+from stepknot.subsets.explanation import explain
+from stepknot.subsets.quotas import cells_of_shard
+from stepknot.subsets.rendezvous import uniform_hash
+from stepknot.subsets.subset import MAX_EVENT_ENTRIES
 from tests.subsets.following import (
     CHANGES,
     COLD_TIME,
@@ -62,7 +63,7 @@
 
 def check(found: Follower) -> None:
     """S1 to S3, S8 and S9 of what the module was told."""
-    shape, settings_, count = found.subset.shape, found.subset.settings, found.subset.instances
+    shape, settings_, count = found.subset.layout, found.subset.settings, found.subset.instances
     cells: dict[int, list[ServerEntry]] = {cell: [] for cell in range(shape.cells)}
     for entry in found.truth.values():
         if entry.state is LIVE:
@@ -73,7 +74,7 @@
         for cell, each in cells.items()
     }
     for shard in range(shape.cells):
-        mine = cells_of(shard, shape.cells, shape.reach)
+        mine = cells_of_shard(shard, shape.cells, shape.reach)
         used = sum(found.warm(entry) for cell in mine for entry in held[cell])
         assert used >= min(settings_.size, sum(len(warm[cell]) for cell in mine)), "S1"
     tier = found.subset.index.tier
@@ -90,7 +91,7 @@
         for entry in held[cell]:
             share = 1.0 if entry.sharers == count else min(1.0, 2.0 * quota / len(live))
             cold = not found.warm(entry)
-            assert not cold or draw(settings_.identity, entry.server) > 1 - share, "S8"
+            assert not cold or uniform_hash(settings_.identity, entry.server) > 1 - share, "S8"
             assert entry.sharers >= count * share * (1 - 1e-9) if cold else entry.sharers == 0, "S8"
 
 
@@ -101,7 +102,7 @@
     found.at(NOW + 6.0)  # some are warm by now
     check(found)
     check(found.at(NOW + 60.0))
-    assert found.subset.next_warm() is None
+    assert found.subset.next_warm_up() is None
     for entry in fleet:
         reason = explain(found.subset, entry.server, found.now)
         assert reason is not None and reason.held == (entry.server in found.view) and reason.word
@@ -120,11 +121,11 @@
         for _ in range(data.draw(st.integers(0, 8))):
             found.advance()
         if data.draw(st.booleans()):
-            found.subset.count(data.draw(st.sampled_from([1, 30, 6600])))
+            found.subset.set_instances(data.draw(st.sampled_from([1, 30, 6600])))
     order = data.draw(st.permutations(fleet))
     cut = data.draw(st.integers(0, len(order)))
     found.now = data.draw(st.sampled_from([NOW, NOW + 7.0]))
-    found.subset.count(shape["instances"])
+    found.subset.set_instances(shape["instances"])
     if data.draw(st.booleans()):
         found.take(FULL, order[:cut])
     else:
@@ -188,7 +189,7 @@
             .finish()
         )
         before = found.names()
-        found.subset.count(6599)
+        found.subset.set_instances(6599)
         changed += len(before ^ found.finish().names())
         total += len(before)
     assert changed <= 0.02 * total
@@ -223,7 +224,7 @@
 
 
 def preferred(found: Follower, cell: int = 0) -> list[str]:
-    return [entry.server for entry in found.subset.index.cells[cell].entries]
+    return [entry.server for entry in found.subset.index.cells[cell].ranked]
 
 
 def test_what_drains_is_told_with_its_replacement_before_a_long_list_is_taken_in() -> None:
@@ -237,7 +238,7 @@
         40
     ):  # to read 36 slices of the long list and the short one, to search, and one urgent unit
         found.advance()
-    assert found.subset.pending is not None and [
+    assert found.subset.intake.pending is not None and [
         each.server for each in found.events[0].entries
     ] == [preferred(found)[4], first]
     assert found.view[first].state is DRAINING
@@ -266,10 +267,10 @@
         [node(f"m{number}", number % 579 + 1) for number in range(36_000)]
         + [replace(entry, up_since=NOW - 0.1 if entry.server == first else 0.0) for entry in CELL],
     )
-    while found.subset.unread or found.subset.search:
+    while found.subset.intake.has_unread or found.subset.uncompared_cells:
         found.advance()
     found.advance()
-    assert found.subset.pending is not None and (
+    assert found.subset.intake.pending is not None and (
         first not in found.view or found.view[first].sharers > 0
     )
     assert len(found.view) >= 4
@@ -334,14 +335,16 @@
     found.take(FULL, CELL).finish()
     assert len(found.view) == 4 and found.events[-1].kind is CHANGES
     found.take(FULL, []).finish()
-    assert not found.view and not found.subset.index.where
+    assert not found.view and not found.subset.index.entries
 
 
 def test_a_failed_call_is_passed_on_at_once_and_changes_nothing() -> None:
     found = Follower().take(FULL, CELL).finish()
     held = found.names()
-    found.subset.take(type(found.events[0])(ListKind.FAILED))
-    assert [event.kind for event in found.subset.out] == [ListKind.FAILED] and not found.subset.busy
+    found.subset.on_watch_event(type(found.events[0])(ListKind.FAILED))
+    assert [event.kind for event in found.subset.events] == [
+        ListKind.FAILED
+    ] and not found.subset.has_work
     assert found.names() == held
 
 
@@ -382,7 +385,7 @@
         .take(FULL, [replace(CELL[0], up_since=NOW - 1.0), *CELL[1:]])
         .finish()
     )
-    found.subset.count(count)
+    found.subset.set_instances(count)
     found.finish()
     check(found)
     assert len(found.view) == (20 if count <= 1 else len(found.view)) and len(found.view) >= 4
@@ -398,7 +401,7 @@
     found = Follower(cells=2)
     for round_ in range(200):
         found.take(FULL, [*CELL, node("x", up_since=1e9)] if round_ % 2 else CELL).finish()
-    assert len(found.subset.warming) <= 8
+    assert len(found.subset.warm_ups) <= 8
 
 
 # --- bounds
@@ -435,6 +438,6 @@
         for entries_ in (fleet, list(fleet), fleet[nodes // 10 :]):
             found.take(FULL, entries_)
             worst.append(max(calls_of_units(found)))
-            events, found.subset.out = found.subset.out, []
-            assert max((len(event.entries) for event in events), default=0) < TOLD_AT_ONCE + 16
+            events, found.subset.events = found.subset.events, []
+            assert max((len(event.entries) for event in events), default=0) < MAX_EVENT_ENTRIES + 16
     assert max(worst) < 10_000 and max(worst[3:]) < 1.2 * max(worst[:3])
