--- a/stepknot/cli/logs.py
+++ b/stepknot/cli/logs.py
@@ -8,8 +8,8 @@
 
 import structlog
 
-QUIET = {"call_sent", "query_ended"}  # one for each query: shown with --log-level debug
-ERRORS = {"internal_error", "box_list_not_taken", "subset_off"}
+DEBUG_EVENTS = {"call_sent", "query_ended"}  # one for each query: shown with --log-level debug
+ERROR_EVENTS = {"internal_error", "box_list_not_taken", "subset_off"}
 
 
 def make_log(level: str, **bound: object) -> Callable[..., None]:
@@ -38,7 +38,9 @@
     debug = log.debug if level == "debug" else _write_nothing
 
     def note(event: str, **fields: object) -> None:
-        (debug if event in QUIET else error if event in ERRORS else info)(event, **fields)
+        (debug if event in DEBUG_EVENTS else error if event in ERROR_EVENTS else info)(
+            event, **fields
+        )
 
     return note
 
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -146,9 +146,9 @@
 
 def levels_of(event: str) -> set[str]:
     """Levels at which the programs log an event: the platform's has debug lines of its own."""
-    if event in program_logs.QUIET:
+    if event in program_logs.DEBUG_EVENTS:
         return {"debug"}
-    if event in program_logs.ERRORS:
+    if event in program_logs.ERROR_EVENTS:
         return {"error"}
     if event in platform_logs.DEBUG_EVENTS or event == "decision_made":  # by STEPKNOT_LOG
         return {"debug", "info"}
@@ -161,5 +161,5 @@
 
 
 def test_events_with_a_level_of_their_own_are_logged() -> None:
-    named = program_logs.QUIET | program_logs.ERRORS | platform_logs.DEBUG_EVENTS
+    named = program_logs.DEBUG_EVENTS | program_logs.ERROR_EVENTS | platform_logs.DEBUG_EVENTS
     assert sorted(named - logged_events()) == []
