--- a/tests/cli/test_names.py
+++ b/tests/cli/test_names.py
@@ -1,6 +1,7 @@
 """Commands and options: earlier names run the same, and help shows the present ones with examples."""
 
 import re
+from pathlib import Path
 from typing import Any
 
 import click
@@ -20,6 +21,14 @@
     "day": "fault-day",
     "scale": "scale-test",
 }
+ROOT = Path(__file__).parents[2]
+# Pages for users; logs of the past quote commands as they were typed.
+PAGES = sorted(
+    path
+    for pattern in ("*.md", "docs/*.md", "docs/operators/*.md", "examples/*/*.md")
+    for path in ROOT.glob(pattern)
+    if path.name not in ("CHANGELOG.md", "results-log.md")
+)
 CONFIG = "deploy/broker.hcl"
 ADMIN = "127.0.0.1:9300"
 NODE = [CONFIG, "--listen", "127.0.0.1:1", "--control", "2", "--cell", "0"]
@@ -119,3 +128,26 @@
 def test_every_command_is_in_one_section_of_the_help() -> None:
     listed = [name for names in cli.sections.values() for name in names]
     assert sorted(listed) == sorted(cli.commands)
+
+
+def code_of(page: Path) -> list[str]:
+    """Fenced blocks' lines and code spans of a page."""
+    text = page.read_text()
+    blocks = re.findall(r"^```.*?^```", text, re.MULTILINE | re.DOTALL)
+    spans = re.findall(r"`([^`\n]+)`", re.sub(r"^```.*?^```", "", text, flags=re.M | re.S))
+    return [line for block in blocks for line in block.splitlines()] + spans
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: page.relative_to(ROOT).as_posix())
+def test_page_names_commands_as_they_are_called_now(page: Path) -> None:
+    called = {
+        name
+        for code in code_of(page)
+        for name in re.findall(r"(?:^|[ (/])stepknot ([a-z][a-z-]+)", code)
+    }
+    assert called <= set(cli.commands)
+
+
+def test_every_command_is_on_a_page() -> None:
+    code = "\n".join(line for page in PAGES for line in code_of(page))
+    assert [name for name in cli.commands if f"stepknot {name}" not in code] == []
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -88,10 +88,29 @@
             yield from literals(first.elts[0])
 
 
+def calls_in(source: str) -> list[ast.Call]:
+    """All calls of a module."""
+    return [node for node in ast.walk(ast.parse(source)) if isinstance(node, ast.Call)]
+
+
 def logged_in(source: str) -> set[str]:
     """Names of all events that a module logs."""
-    calls = (node for node in ast.walk(ast.parse(source)) if isinstance(node, ast.Call))
-    return {name for call in calls for name in logged_by(call)}
+    return {name for call in calls_in(source) for name in logged_by(call)}
+
+
+def fields_of(call: ast.Call) -> set[str]:
+    """Names of the fields that a call gives by keyword; those of mappings are not known here."""
+    return {word.arg for word in call.keywords if word.arg is not None} - {"exc_info"}
+
+
+def logged_fields() -> dict[str, set[str]]:
+    """By event the fields that its calls give by keyword."""
+    found: dict[str, set[str]] = {}
+    for path in sorted((ROOT / "stepknot").rglob("*.py")):
+        for call in calls_in(path.read_text()):
+            for name in logged_by(call):
+                found.setdefault(name, set()).update(fields_of(call))
+    return found
 
 
 def logged_events() -> set[str]:
@@ -103,11 +122,10 @@
 
 
 def rows() -> list[list[str]]:
-    """The tables' rows, as cells without their code marks."""
+    """The tables' rows as cells; the name of the event is without its code marks."""
     lines = (line for line in PAGE.splitlines() if re.match(r"\| (?!event \||---)", line))
-    return [
-        [cell.strip().strip("`") for cell in re.split(r"(?<!\\)\|", line)[1:-1]] for line in lines
-    ]
+    cells = ([cell.strip() for cell in re.split(r"(?<!\\)\|", line)[1:-1]] for line in lines)
+    return [[name.strip("`"), *others] for name, *others in cells]
 
 
 @pytest.mark.parametrize(
@@ -160,6 +178,14 @@
     assert wrong == []
 
 
+def test_rows_name_each_field_that_is_logged() -> None:
+    fields = logged_fields()
+    missing = {
+        row[0]: sorted(fields[row[0]] - set(re.findall(r"`(\w+)`", row[2]))) for row in rows()
+    }
+    assert {name: left for name, left in missing.items() if left} == {}
+
+
 def test_events_with_a_level_of_their_own_are_logged() -> None:
     named = program_logs.DEBUG_EVENTS | program_logs.ERROR_EVENTS | platform_logs.DEBUG_EVENTS
     assert sorted(named - logged_events()) == []
