--- a/bench/planted_defects/broker.py
+++ b/bench/planted_defects/broker.py
@@ -89,7 +89,7 @@
     ),
     PlantedDefect(
         path="stepknot/broker/service.py",
-        original="self.subsetting.count(count)",
+        original="self.subsetting.set_instances(count)",
         replacement="pass",
         tests=(
             "tests/subsets/test_driver.py::test_a_broker_uses_some_nodes_before_its_first_turn_and_both_hear_the_count",
@@ -97,7 +97,7 @@
     ),
     PlantedDefect(
         path="stepknot/broker/service.py",
-        original="self.listed.on_list = self.subsetting.take",
+        original="self.listed.on_list = self.subsetting.on_watch_event",
         replacement="pass",
         tests=(
             "tests/subsets/test_driver.py::test_a_broker_uses_some_nodes_before_its_first_turn_and_both_hear_the_count",
--- a/bench/planted_defects/subsets.py
+++ b/bench/planted_defects/subsets.py
@@ -5,15 +5,15 @@
 DEFECTS = [
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
-        original="self.on_list(self.whole(ListKind.FULL,",
-        replacement="list(self.whole(ListKind.FULL,",
+        original="self._on_list(self._full_event(ListKind.FULL, entries))",
+        replacement="list(entries)",
         tests=(
             "tests/subsets/test_driver.py::test_after_a_defect_the_core_has_the_whole_list_and_keeps_it",
         ),
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
-        original="if self.off or event.kind is ListKind.FAILED:",
+        original="if self.fault or event.kind is ListKind.FAILED:",
         replacement="if event.kind is ListKind.FAILED:",
         tests=(
             "tests/subsets/test_driver.py::test_after_a_defect_the_core_has_the_whole_list_and_keeps_it",
@@ -21,39 +21,39 @@
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
-        original="timer.cancel()",
-        replacement="pass",
+        original="                timer.cancel()\n        self.slice_timer",
+        replacement="                pass\n        self.slice_timer",
         tests=(
             "tests/subsets/test_driver.py::test_what_was_decided_and_not_handed_over_does_not_come_after_the_whole_list",
         ),
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
-        original="while more and clock() < until:",
-        replacement="while more:",
+        original="while has_more and clock() < until:",
+        replacement="while has_more:",
         tests=(
             "tests/subsets/test_driver.py::test_a_long_list_is_taken_in_slices_and_no_turn_is_held_for_long",
         ),
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
-        original="self.loop.call_later(NEXT_TURN, self.slice)",
-        replacement="self.loop.call_later(0.0, self.slice)",
+        original="self._loop.call_later(NEXT_TURN, self._run_slice)",
+        replacement="self._loop.call_later(0.0, self._run_slice)",
         tests=(
             "tests/subsets/test_driver.py::test_a_long_list_is_taken_in_slices_and_no_turn_is_held_for_long",
         ),
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
-        original="self.ready += parts(event)",
-        replacement="self.ready.append(event)",
+        original="self.outgoing += split_event(event)",
+        replacement="self.outgoing.append(event)",
         tests=(
             "tests/subsets/test_driver.py::test_a_long_list_is_taken_in_slices_and_no_turn_is_held_for_long",
         ),
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
-        original="self.loop.call_at(at, self.begin) if at is not None else None",
+        original="self._loop.call_at(at, self._start_work)",
         replacement="None",
         tests=(
             "tests/subsets/test_driver.py::test_a_cold_node_is_warm_at_its_time_though_no_list_comes",
@@ -61,15 +61,15 @@
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
-        original="self.guarded(lambda: self.subset.set_instances(instances))",
+        original="self._guard(lambda: self.subset.set_instances(instances))",
         replacement="pass",
         tests=(
             "tests/subsets/test_driver.py::test_the_count_of_brokers_sets_how_many_nodes_each_uses",
         ),
     ),
     PlantedDefect(
-        path="stepknot/broker/subset_driver.py",
-        original="if cells <= MAX_TOLD:",
+        path="stepknot/broker/subset_change_log.py",
+        original="if cells <= MAX_LOGGED_CELLS:",
         replacement="if True:",
         tests=(
             "tests/subsets/test_driver.py::test_few_changes_are_told_one_by_one_and_many_in_one_event",
--- a/bench/trace_packages/subsets.py
+++ b/bench/trace_packages/subsets.py
@@ -202,7 +202,7 @@
         self.driver = SubsetDriver(
             self.loop, own, fleet, self.listed, self._handed, lambda _, **fields: self._log(fields)
         )
-        self.listed.on_list = self.driver.take
+        self.listed.on_list = self.driver.on_watch_event
 
     def _clock(self) -> float:
         self.now += CLOCK_STEP
@@ -220,7 +220,7 @@
         self.listed.take(ListReceived(kind, tuple(entries)))
 
     def count(self, brokers: int) -> None:
-        self.driver.count(brokers)
+        self.driver.set_instances(brokers)
 
     def turns(self, count: int) -> None:
         for _ in range(count):
@@ -229,10 +229,10 @@
 
     def report(self, server: str) -> None:
         """Admin answers and metrics."""
-        task = self.loop.spawn(self.driver.survey(True))
+        task = self.loop.spawn(self.driver.report(True))
         while not task.done:
             self.turns(1)
-        self.trace.add(orjson.dumps(task.result), orjson.dumps(self.driver.why(server)))
+        self.trace.add(orjson.dumps(task.result), orjson.dumps(self.driver.explain(server)))
         for metric in self.driver.collect():
             self.trace.add(metric.name, metric.documentation)
             for sample in metric.samples:
--- a/stepknot/broker/service.py
+++ b/stepknot/broker/service.py
@@ -193,7 +193,7 @@
                 self.core.take_list,
                 log,
             )
-            self.listed.on_list = self.subsetting.take
+            self.listed.on_list = self.subsetting.on_watch_event
         self.source = EndpointFileWatcher(
             self.loop,
             config.list_file,
@@ -245,7 +245,7 @@
         """No more brokers than this may be there, by membership."""
         self.core.note_instances(count)
         if self.subsetting is not None:
-            self.subsetting.count(count)
+            self.subsetting.set_instances(count)
 
     def share_descriptors(self, config: Config) -> Budgets | None:
         """The limit as it is at the start. A limit that is too low for budgets is told, and there are none then."""
@@ -400,10 +400,10 @@
 
     def show_subset(self, subsetting: SubsetDriver, query: dict[str, str]) -> Coroutine:
         """`?held=1`: with the nodes in use; `?why=NODE`: only why this one is, or is not, in use."""
-        found = {"broker": self.name, **(yield from subsetting.survey("held" in query))}
+        found = {"broker": self.name, **(yield from subsetting.report("held" in query))}
         if "why" in query:
-            reason = subsetting.why(query["why"])
-            if reason is None and not subsetting.off:
+            reason = subsetting.explain(query["why"])
+            if reason is None and not subsetting.fault:
                 return Response(
                     404, orjson.dumps({"error": f"the list has no node {query['why']}"})
                 )
--- a/tests/subsets/test_config.py
+++ b/tests/subsets/test_config.py
@@ -227,7 +227,7 @@
 )
 def test_without_the_block_nothing_of_it_is_loaded(module: str) -> None:
     code = (
-        f"import sys, {module}; sys.exit(any(name.startswith('stepknot.subsets') or name.endswith('subsetting') "
+        f"import sys, {module}; sys.exit(any(name.startswith(('stepknot.subsets', 'stepknot.broker.subset_')) "
         "for name in sys.modules))"
     )
     assert subprocess.run([sys.executable, "-c", code], timeout=30).returncode == 0
@@ -238,7 +238,7 @@
     code = (
         "import sys, pathlib; from stepknot.cli.serve import make; from stepknot.config.settings import load; "
         f"make(load(pathlib.Path({str(path)!r})), lambda *_, **__: None); "
-        "sys.exit(any(name.startswith('stepknot.subsets') or name.endswith('subsetting') for name in sys.modules))"
+        "sys.exit(any(name.startswith(('stepknot.subsets', 'stepknot.broker.subset_')) for name in sys.modules))"
     )
     text = path.read_text().replace('"127.0.0.1:9200"', '"127.0.0.1:0"')
     path.write_text(text)
--- a/tests/subsets/test_driver.py
+++ b/tests/subsets/test_driver.py
@@ -15,7 +15,8 @@
 import orjson
 import pytest
 
-from stepknot.broker.subset_driver import MAX_HANDED, MAX_TOLD, SLICE, SubsetDriver
+from stepknot.broker.subset_change_log import MAX_LOGGED_CELLS
+from stepknot.broker.subset_driver import MAX_HANDED_ENTRIES, MAX_SLICE_SECONDS, SubsetDriver
 from stepknot.cli.serve import make
 from stepknot.config.settings import load
 from stepknot.discovery.drained_endpoints import Drained
@@ -64,7 +65,7 @@
             self.take,
             lambda event, **fields: self.told.append((event, fields)),
         )
-        self.listed.on_list = self.own.take
+        self.listed.on_list = self.own.on_watch_event
 
     def clock(self) -> float:
         self.now += STEP
@@ -106,7 +107,7 @@
         raise AssertionError("it did not come to that")
 
     def settle(self) -> None:
-        self.until(lambda: self.own.turn is None)
+        self.until(lambda: self.own.slice_timer is None)
 
     def names(self, event: str) -> list[dict[str, Any]]:
         return [fields for name, fields in self.told if name == event]
@@ -164,13 +165,13 @@
 
 def test_a_long_list_is_taken_in_slices_and_no_turn_is_held_for_long(world: World) -> None:
     world.loop.lag_most, fired, since = 0.0, [], world.loop.turns
-    world.loop.call_later(3 * SLICE, lambda: fired.append(world.loop.turns))
+    world.loop.call_later(3 * MAX_SLICE_SECONDS, lambda: fired.append(world.loop.turns))
     world.change(*(replace(entry, state=ServerState.GONE) for entry in nodes()), *other())
     world.settle()
     assert set(world.core()) < {entry.server for entry in other()} and len(world.core()) == 40 * 3
     assert world.loop.lag_most < TURN and world.own.longest_slice < TURN
     assert world.loop.turns - since > 10 and fired[0] - since < 5
-    assert max(len(event.entries) for event in world.taken[1:]) <= MAX_HANDED
+    assert max(len(event.entries) for event in world.taken[1:]) <= MAX_HANDED_ENTRIES
     assert len(set(world.turns)) == len(world.turns), "two events in one turn"
 
 
@@ -234,7 +235,7 @@
 def test_a_list_that_fails_is_told_at_once_and_changes_nothing(world: World) -> None:
     before = world.core()
     world.listed.take(ListReceived(ListKind.FAILED))
-    assert world.taken[-1].kind is ListKind.FAILED and world.own.turn is None
+    assert world.taken[-1].kind is ListKind.FAILED and world.own.slice_timer is None
     world.taken.pop()
     assert world.core() == before
 
@@ -243,11 +244,11 @@
     world.full(replace(entry, up_since=world.now) for entry in nodes())
     world.settle()
     cold = [entry for entry in world.core().values() if entry.sharers]
-    assert cold and world.own.warm is not None
+    assert cold and world.own.warm_up_timer is not None
     world.now += COLD_TIME + 0.1
     world.until(lambda: not any(entry.sharers for entry in world.core().values()))
     world.settle()
-    assert len(world.core()) == 40 * 3 and world.own.warm is None
+    assert len(world.core()) == 40 * 3 and world.own.warm_up_timer is None
 
 
 def test_the_count_of_brokers_sets_how_many_nodes_each_uses(world: World) -> None:
@@ -255,10 +256,10 @@
     world.full(nodes())
     world.turn()
     assert len(world.core()) == 40 * 5
-    world.own.count(50)
+    world.own.set_instances(50)
     world.settle()
     assert len(world.core()) == 40 * 10
-    world.own.count(1000)
+    world.own.set_instances(1000)
     world.settle()
     assert len(world.core()) == 40 * 3
     assert {row["cause"] for row in world.names("subset_changed") if "cause" in row} <= {
@@ -288,20 +289,20 @@
         elif what == 2:
             world.listed.set_out(entry.server for entry in some)
         elif what == 3:
-            world.own.count(chance.choice([40, 100, 300]))
+            world.own.set_instances(chance.choice([40, 100, 300]))
         else:
             world.full(world.listed.entries.values())
-    world.own.count(FLEET.instances)
+    world.own.set_instances(FLEET.instances)
     world.settle()
     fresh = World(replace(OWN, holders=30.0), now=world.now)
     fresh.listed.out = world.listed.out
     fresh.full(world.listed.entries.values())
-    assert not world.own.off and live(world) == live(fresh)
+    assert not world.own.fault and live(world) == live(fresh)
     for each in (world, fresh):
         each.now += COLD_TIME + 0.1
         each.until(
             lambda each=each: (
-                each.own.turn is None
+                each.own.slice_timer is None
                 and not any(  # type: ignore[misc]
                     entry.sharers for entry in each.core().values()
                 )
@@ -336,7 +337,7 @@
     world.settle()
     assert any(entry.sharers for entry in world.core().values())
     world.change(replace(nodes()[3], state=ServerState.DRAINING), broken(nodes()[0]))
-    world.until(lambda: bool(world.own.off))
+    world.until(lambda: bool(world.own.fault))
     assert (
         world.taken[-1].kind is ListKind.FULL
         and world.core() == everything(world)
@@ -344,35 +345,35 @@
     )
     assert not any(entry.sharers for entry in world.core().values())
     assert world.core()["n0.3"].state is ServerState.DRAINING
-    (told,) = world.names("subset_off")
+    (told,) = world.names("subset_disabled")
     assert "TypeError" in told["reason"] and told["nodes"] == 401 and len(world.errors) == 1
     world.change(*other(), replace(nodes()[7], state=ServerState.GONE))
     world.listed.set_out(["n1.1"])
-    world.own.count(3)
+    world.own.set_instances(3)
     for _ in range(10):
         world.turn()
     assert world.core() == everything(world) and len(world.core()) == 800
     assert world.core()["n1.1"].state is ServerState.DRAINING
-    assert len(world.names("subset_off")) == 1 and len(world.errors) == 1
+    assert len(world.names("subset_disabled")) == 1 and len(world.errors) == 1
 
 
 def test_a_defect_as_a_list_comes_in_or_at_the_very_first_one_is_borne_too() -> None:
     world = World()
     world.full([*nodes(), broken(nodes()[0])])
-    assert world.own.off and world.core() == everything(world) and world.turns == [0]
+    assert world.own.fault and world.core() == everything(world) and world.turns == [0]
     world = World()
     world.full(nodes())
     world.turn()
     world.own.subset.intake = None  # type: ignore[assignment]
     world.change(replace(next(iter(world.core().values())), state=ServerState.DRAINING))
-    assert world.own.off and world.core() == everything(world) and len(world.core()) == 400
+    assert world.own.fault and world.core() == everything(world) and len(world.core()) == 400
 
 
 def test_what_was_decided_and_not_handed_over_does_not_come_after_the_whole_list(
     world: World,
 ) -> None:
     world.change(*(replace(entry, state=ServerState.GONE) for entry in nodes()[100:]), *other())
-    world.until(lambda: len(world.own.ready) > 1)
+    world.until(lambda: len(world.own.outgoing) > 1)
     world.own.fall_back(RuntimeError("planted"))
     for _ in range(50):
         world.turn()
@@ -387,14 +388,14 @@
     world.own.fall_back(RuntimeError("planted"))
     (off,) = world.own.collect()
     assert off.samples[0].value == 1
-    assert survey(world)["off"] == "RuntimeError: planted" and world.own.why("n0.0") is None
+    assert survey(world)["off"] == "RuntimeError: planted" and world.own.explain("n0.0") is None
 
 
 # --- what is told
 
 
 def survey(world: World, with_held: bool = False) -> dict[str, Any]:
-    task = world.loop.spawn(world.own.survey(with_held))
+    task = world.loop.spawn(world.own.report(with_held))
     world.until(lambda: task.done)
     assert task.error is None
     found: dict[str, Any] = task.result
@@ -408,7 +409,7 @@
         and first["causes"] == {"the list": 40}
         and first["entered_count"] == 120
     )
-    assert len(first["first_cells"]) == MAX_TOLD
+    assert len(first["first_cells"]) == MAX_LOGGED_CELLS
     world.told.clear()
     held = next(iter(world.core().values()))
     world.change(replace(held, state=ServerState.GONE))
@@ -430,7 +431,7 @@
     world.change(own)
     world.change(replace(own, zone="b"))
     world.settle()
-    (told,) = world.names("list_names_this_broker")
+    (told,) = world.names("own_address_listed")
     assert told["addresses"] == ["127.0.0.1:9200"] and world.own.subset.left_out == 2
     assert "127.0.0.1:9200" not in world.core()
     world.own.fall_back(RuntimeError("planted"))
@@ -441,18 +442,18 @@
     world.change(*(replace(entry, up_since=world.now) for entry in nodes() if entry.zone == "b"))
     world.settle()
     found = survey(world, with_held=True)
-    assert [(row["zone"], row["tier"], row["listed"]) for row in found["zones"]] == [
+    assert [(row.zone, row.tier, row.listed) for row in found["zones"]] == [
         (zone, int(zone != "a"), 80) for zone in ZONES
     ]
-    assert {row["server"] for row in found["held"]} == set(world.core()) and found[
+    assert {row.server for row in found["held"]} == set(world.core()) and found[
         "quota_greatest"
     ] == 3
-    assert sum(row["warm"] for row in found["zones"]) == 40 * 3
-    assert sum(row["cold"] for row in found["zones"]) == sum(
+    assert sum(row.warm for row in found["zones"]) == 40 * 3
+    assert sum(row.cold for row in found["zones"]) == sum(
         entry.sharers > 0 for entry in world.core().values()
     )
-    why = world.own.why(next(iter(world.core())))
-    assert why is not None and why["held"] and world.own.why("nobody") is None
+    why = world.own.explain(next(iter(world.core())))
+    assert why is not None and why["held"] and world.own.explain("nobody") is None
     assert "held" not in survey(world)
 
 
@@ -493,12 +494,12 @@
     told: list[str] = []
     service = make(load(tmp_path / "broker.hcl"), lambda event, **fields: told.append(event))
     assert service.loop.turns == 0 and len(service.core.servers) == 4 * 5
-    assert told.count("list_names_this_broker") == 1 and len(service.listed.entries) == 43
+    assert told.count("own_address_listed") == 1 and len(service.listed.entries) == 43
     service.loop.again = True
     service.loop.turn()
     service.note_instances(1)
     assert InstancesCounted(1) in service.core.inbox
-    while service.subsetting is not None and service.subsetting.turn is not None:
+    while service.subsetting is not None and service.subsetting.slice_timer is not None:
         service.loop.turn()
     assert len(service.core.servers) == 40 and b"stepknot_subset_held" in service.metrics()
     for server in (service.server, service.graph_server, service.admin):
--- a/tests/subsets/test_processes.py
+++ b/tests/subsets/test_processes.py
@@ -337,14 +337,16 @@
         orjson.dumps({"boxes": [*rows, {"address": own, "zone": "a", "cell": 0}]})
     )
     path.with_suffix(".new").replace(path)
-    brokers.until(lambda: bool(brokers.events("b0", "list_names_this_broker")))
+    brokers.until(lambda: bool(brokers.events("b0", "own_address_listed")))
     assert own not in brokers.held("b0") and brokers.subset("b0")["left_out"] >= 1
     brokers.fleet.write_list()
 
 
 def test_no_broker_met_a_defect_of_its_own(brokers: Subsets) -> None:
     for name in brokers.names:
-        assert not brokers.events(name, "internal_error") and not brokers.events(name, "subset_off")
+        assert not brokers.events(name, "internal_error") and not brokers.events(
+            name, "subset_disabled"
+        )
 
 
 def test_the_six_rules_hold_on_a_day_with_subsets(tmp_path: Path) -> None:
@@ -375,5 +377,5 @@
     assert (
         b'"subset_changed"' in logs
         and b'"internal_error"' not in logs
-        and b'"subset_off"' not in logs
+        and b'"subset_disabled"' not in logs
     )
