--- a/stepknot/cli/admin_client.py
+++ b/stepknot/cli/admin_client.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import http.client
 from typing import Any, TypeVar
 
 import msgspec
@@ -11,6 +10,7 @@
 from stepknot.cli.errors import AdminRequestError
 
 REQUEST_TIMEOUT = 3.0  # seconds
+HTTP_OK = 200
 ORDER_TIMEOUT = 60.0  # seconds; a drain order is answered once a majority of voters has it
 
 View = TypeVar("View", bound=msgspec.Struct)
@@ -39,12 +39,14 @@
         AdminRequestError: The status is not 200, or the answer is not a JSON object over HTTP.
         OSError: Nothing answers at the address.
     """
+    import http.client  # 1.5 MB that a broker, which is started by the same program, does not need
+
     connection = http.client.HTTPConnection(*admin, timeout=timeout)
     try:
         connection.request(method, path, body)
         response = connection.getresponse()
         data = response.read()
-        if response.status != http.client.OK:
+        if response.status != HTTP_OK:
             raise AdminRequestError(response.status, data[:200].decode(errors="replace"))
         answer: dict[str, Any] = orjson.loads(data)
     except (http.client.HTTPException, ValueError) as error:
