--- a/stepknot/broker/service.py
+++ b/stepknot/broker/service.py
@@ -199,7 +199,7 @@
             config.list_file,
             config.list_every,
             self.listed.take,
-            lambda trouble: log("box_list_not_taken", trouble=trouble),
+            lambda reason: log("endpoint_list_rejected", reason=reason),
         )
         self.peering: MembershipDriver | None = None
         if config.peers is not None:
--- a/stepknot/config/subsets.py
+++ b/stepknot/config/subsets.py
@@ -1,4 +1,7 @@
-"""The `subset` block: which nodes of the list this broker uses. Without it, all; and nothing of it is loaded then."""
+"""The `subset` block: which nodes of the endpoint list this broker uses.
+
+Without the block the broker uses all nodes, and nothing of `stepknot.subsets` is loaded.
+"""
 
 from __future__ import annotations
 
@@ -13,23 +16,32 @@
 if TYPE_CHECKING:
     from stepknot.subsets.model import SubsetSettings
 
-MAX_SIZE = 64  # replicas a shard: more than that is no subset
-MAX_NEAR = 1000.0  # beyond it only the nearest tier would ever be chosen by rank
-MAX_SPREAD = 1e100  # of weights between the nearest and the farthest tier: scores stay finite
+MAX_SIZE = 64  # replicas a shard; a subset of more is of no use
+MAX_HOLDERS = 1e6
+MAX_NEAR = 1000.0  # beyond it only nodes of the nearest tier would be selected by rank
+MAX_WEIGHT_RATIO = 1e100  # between the nearest and the farthest tier: scores stay finite
+MIN_SIZE_TO_HEDGE = 2
 
 TABLE = {
     "enabled": Key(flag, True),
     "identity": Key(name, None),
     "size": Key(count(1, MAX_SIZE), None),
-    "holders": Key(number(1.0, 1e6), None),
+    "holders": Key(number(1.0, MAX_HOLDERS), None),
     "near": Key(number(1.0, MAX_NEAR), None),
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Surroundings:
-    """What other blocks say: the broker's zone, zones by tier, its name in the `peers` block, and how many replicas
-    the attempts of a part ask for."""
+    """What the subset takes from other blocks.
+
+    Attributes:
+        zone: The broker's own zone.
+        tiers: Zones by preference.
+        peer_name: The broker's name in the `peers` block; empty: none is given.
+        max_attempts: Attempts of a part, each at another replica.
+        second_copies: Whether requests are hedged, at another replica.
+    """
 
     zone: str
     tiers: tuple[tuple[str, ...], ...]
@@ -41,50 +53,66 @@
 def read_subset(
     checker: Checker, block: Block | None, around: Surroundings
 ) -> SubsetSettings | None:
-    """None where there is no such block, or it is switched off."""
+    """Read the block; problems go to `checker`.
+
+    Returns:
+        The settings; None where there is no such block, it is malformed, or it is switched off.
+    """
     if block is None:
         return None
     got = checker.read(block, TABLE, "subset.")
     if checker.problems or not got.pop("enabled"):
         return None
-    from stepknot.subsets.model import (
-        SubsetSettings,
-    )  # not needed, and not loaded, without the block
+    # Loaded here, as nothing of the package is loaded without the block.
+    from stepknot.subsets.model import SubsetSettings
 
-    def wrong(key: str, expected: str) -> None:
-        checker.wrong(
-            block.values[key].line if key in block.values else block.line, f"subset.{key}", expected
-        )
+    def report(key: str, expected: str) -> None:
+        line = block.values[key].line if key in block.values else block.line
+        checker.wrong(line, f"subset.{key}", expected)
 
     identity = got.pop("identity") or around.peer_name
     if not identity:
-        wrong(
+        report(
             "identity",
             "missing: brokers with one identity would use the same nodes; here, or as peers.name",
         )
-    found = SubsetSettings(
-        identity,
-        zone=around.zone,
-        tiers=around.tiers,
-        **{key: value for key, value in got.items() if value is not None},
+    given = {key: value for key, value in got.items() if value is not None}
+    settings = SubsetSettings(identity, zone=around.zone, tiers=around.tiers, **given)
+    size_problem = _size_problem(settings.size, around)
+    if size_problem:
+        report("size", size_problem)
+    near_problem = _near_problem(settings.near, around)
+    if near_problem:
+        report("near", near_problem)
+    return settings
+
+
+def surroundings(
+    zone: str, zones: dict[str, Any], limits: dict[str, Any], peers: Block | None
+) -> Surroundings:
+    """Collect what the subset takes from other blocks.
+
+    The default name in `peers` is made from the address that the broker listens on, and is not used as identity: all
+    brokers that listen on "0.0.0.0" would have the same one.
+    """
+    given = peers.values.get("name") if peers is not None else None
+    return Surroundings(
+        zone=zone or "",
+        tiers=zones["tiers"] or (),
+        peer_name=str(given.value) if given is not None else "",
+        max_attempts=limits["max_attempts"] or 1,
+        second_copies=bool(limits["second_copies"]),
     )
-    for key, problem in (
-        ("size", size_problem(found.size, around)),
-        ("near", near_problem(found.near, around)),
-    ):
-        if problem:
-            wrong(key, problem)
-    return found
 
 
-def size_problem(size: int, around: Surroundings) -> str:
-    """A part's further attempts go to replicas that it did not try: fewer of them than attempts are never enough."""
+def _size_problem(size: int, around: Surroundings) -> str:
+    """What is wrong with the size: fewer replicas than attempts or hedges need. Empty: nothing."""
     if size < around.max_attempts:
         return (
             f"expected limits.max_attempts ({around.max_attempts}) or more, not {size}: each attempt of a part "
             "goes to another replica; raise size or lower max_attempts"
         )
-    if around.second_copies and size < 2:
+    if around.second_copies and size < MIN_SIZE_TO_HEDGE:
         return (
             "expected 2 or more: a second copy goes to another replica; raise size or set "
             "limits.second_copies = false"
@@ -92,22 +120,9 @@
     return ""
 
 
-def near_problem(near: float, around: Surroundings) -> str:
+def _near_problem(near: float, around: Surroundings) -> str:
+    """What is wrong with the preference for near zones: weights of far ones vanish. Empty: nothing."""
     farthest = len(around.tiers) + 1
-    if farthest * math.log(near) > math.log(MAX_SPREAD):
+    if farthest * math.log(near) > math.log(MAX_WEIGHT_RATIO):
         return f"expected less, not {near:g}: to the power of {farthest} tiers it leaves the farthest no weight at all"
     return ""
-
-
-def surroundings(
-    zone: str, zones: dict[str, Any], limits: dict[str, Any], peers: Block | None
-) -> Surroundings:
-    """A name that `peers` makes up from the address it listens on does not do: at "0.0.0.0" all have that one."""
-    given = peers.values.get("name") if peers is not None else None
-    return Surroundings(
-        zone or "",
-        zones["tiers"] or (),
-        str(given.value) if given is not None else "",
-        limits["max_attempts"] or 1,
-        bool(limits["second_copies"]),
-    )
--- a/stepknot/discovery/__init__.py
+++ b/stepknot/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of boxes comes from. Each source hands `ListReceived` events to the broker."""
+"""Where the endpoint list comes from: each source hands `ListReceived` watch events to the broker."""
--- a/stepknot/discovery/endpoint_file.py
+++ b/stepknot/discovery/endpoint_file.py
@@ -1,16 +1,15 @@
-"""The list of boxes as a JSON or HCL file that is watched for change.
+"""The endpoint list as a JSON or HCL file that is watched for changes.
 
 JSON: `{"boxes": [{"address": "127.0.0.1:9301", "zone": "a", "cell": 0, ...}]}`; HCL: `box "ADDRESS" { zone = "a" }`.
-`state` is live or draining, `up_since` is seconds since 1970 when the process started (0: long ago). A file that
-cannot be read or understood changes nothing: it is told, and the last good list stays.
+A box is a node. `state` is live or draining; `up_since` is when the process started, in seconds since 1970 (0: long
+ago). A file that cannot be read or is malformed changes nothing: it is reported, and the last good list stays in force.
 """
 
 from __future__ import annotations
 
-import os
 import time
-from collections.abc import Callable
-from dataclasses import replace
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass, replace
 from pathlib import Path
 from typing import Any
 
@@ -21,137 +20,193 @@
 from stepknot.interface import ListKind, ListReceived, ServerEntry, ServerState
 from stepknot.net.loop import Loop
 
-MOST_BOXES = 100_000
-KEYS = {"address", "zone", "cell", "state", "size", "up_since", "kind"}
+MAX_NODES = 100_000
+# Start times are converted between clocks whose offset varies by microseconds; within this they are equal.
+MAX_START_DIFFERENCE = 0.001  # seconds
+KNOWN_KEYS = {"address", "zone", "cell", "state", "size", "up_since", "kind"}
+
+
+@dataclass(frozen=True, slots=True)
+class ListRow:
+    """One node as the file has it, and its line (0: not known)."""
+
+    line: int
+    given: Any
+
+
+@dataclass(frozen=True, slots=True)
+class FileVersion:
+    """What tells a changed file from the one that was read."""
+
+    mtime_ns: int
+    size: int
+    inode: int
 
 
 def read_endpoint_list(path: Path, clock_offset: float) -> dict[str, ServerEntry]:
-    """By address. `clock_offset`: the loop's clock less the wall's. Raises ConfigError, OSError."""
-    text = path.read_text()
-    if path.suffix == ".json":
-        try:
-            given = orjson.loads(text)["boxes"]
-            if not isinstance(given, list):
-                raise TypeError("boxes is no list")
-        except (ValueError, KeyError, TypeError) as error:
-            raise ConfigError(
-                [Problem(str(path), 1, "boxes", f"expected a JSON list of boxes: {error}")]
-            ) from None
-        rows = [(0, each) for each in given]
-    else:
-        blocks = parse(text, str(path)).blocks
-        rows = [
-            (
-                each.line,
-                {"address": " ".join(each.labels)}
-                | {key: value.value for key, value in each.values.items()},
-            )
-            for each in blocks
-        ]
-    if len(rows) > MOST_BOXES:
-        raise ConfigError([Problem(str(path), 1, "boxes", f"expected {MOST_BOXES} at the most")])
+    """Read the whole file.
+
+    Args:
+        path: The file; `.json` is read as JSON, everything else as HCL.
+        clock_offset: The loop's clock minus the wall clock, in seconds.
+
+    Returns:
+        The entries by address, in the order of the file.
+
+    Raises:
+        ConfigError: The file is malformed; each problem has its line and key.
+        OSError: The file cannot be read.
+    """
+    rows = _read_rows(path)
+    if len(rows) > MAX_NODES:
+        raise ConfigError([Problem(str(path), 1, "boxes", f"expected {MAX_NODES} at the most")])
     entries: dict[str, ServerEntry] = {}
     problems = []
-    for place, (line, row) in enumerate(rows):
+    for position, row in enumerate(rows):
         try:
-            entry = read_entry(row, clock_offset)
+            entry = _read_entry(row.given, clock_offset)
             if entry.server in entries:
                 raise Bad(f"{entry.server} is listed twice")
             entries[entry.server] = entry
         except (Bad, TypeError, ValueError) as error:
-            problems.append(Problem(str(path), line, f"boxes[{place}]", str(error)))
+            problems.append(Problem(str(path), row.line, f"boxes[{position}]", str(error)))
     if problems:
         raise ConfigError(problems)
     return entries
 
 
-def read_entry(row: Any, clock_offset: float) -> ServerEntry:
-    if not isinstance(row, dict):
-        raise Bad("expected an object")
-    unknown = set(row) - KEYS
-    if unknown:
-        raise Bad(f"unknown key {sorted(unknown)[0]}; known: {', '.join(sorted(KEYS))}")
-    where = row.get("address")
-    address(where)
-    state, cell = row.get("state", "live"), row.get("cell", 0)
-    if state not in ("live", "draining"):
-        raise Bad(f"expected state live or draining, not {state!r}")
-    if not isinstance(cell, int) or cell < 0:
-        raise Bad(f"expected a cell of 0 or more, not {cell!r}")
-    since = row.get("up_since", 0)
-    if not isinstance(since, (int, float)):
-        raise Bad(f"expected up_since in seconds since 1970, not {since!r}")
-    return ServerEntry(
-        str(where),
-        str(row.get("zone", "")),
-        cell,
-        ServerState(state),
-        float(row.get("size", 1.0)),
-        since + clock_offset if since > 0 else 0.0,
-        str(row.get("kind", "")),
-    )
-
-
 def diff_endpoint_lists(
     old: dict[str, ServerEntry], new: dict[str, ServerEntry]
 ) -> tuple[ServerEntry, ...]:
-    """What a broker that knows `old` must hear to know `new`."""
+    """The entries of a watch event that leads from the old list to the new one: gone nodes, then changed ones."""
     gone = [
         replace(entry, state=ServerState.GONE) for server, entry in old.items() if server not in new
     ]
-    changed = [entry for server, entry in new.items() if not same(old.get(server), entry)]
+    changed = [entry for server, entry in new.items() if not _is_same(old.get(server), entry)]
     return (*gone, *changed)
 
 
-def same(old: ServerEntry | None, new: ServerEntry) -> bool:
-    """The offset of the clocks wanders by microseconds; a start time is the same within a millisecond."""
-    return (
-        old is not None
-        and abs(old.up_since - new.up_since) < 0.001
-        and replace(old, up_since=0.0) == replace(new, up_since=0.0)
-    )
-
-
 class EndpointFileWatcher:
-    """Watches the file by its stat every `every` seconds and reports through `on_list` and `on_trouble`."""
+    """Polls the file's version, and reports a snapshot at first and changes from then on.
+
+    Args:
+        loop: Its timers run the polls.
+        path: The file.
+        interval: Seconds between polls.
+        on_list: Receives the watch events.
+        on_error: Receives why the file was not read, at each poll until it can be.
+        wall: The wall clock, in seconds since 1970.
+    """
 
     def __init__(
         self,
         loop: Loop,
         path: Path,
-        every: float,
+        interval: float,
         on_list: Callable[[ListReceived], None],
-        on_trouble: Callable[[str], None],
+        on_error: Callable[[str], None],
         wall: Callable[[], float] = time.time,
     ) -> None:
-        self.loop, self.path, self.every, self.wall = loop, path, every, wall
-        self.on_list, self.on_trouble = on_list, on_trouble
         self.entries: dict[str, ServerEntry] = {}
-        self.stamp: tuple[int, int, int] | None = None
-        self.heard = False
-        self.check()
-
-    def check(self) -> None:
+        self._loop = loop
+        self._path = path
+        self._interval = interval
+        self._on_list = on_list
+        self._on_error = on_error
+        self._wall = wall
+        self._version: FileVersion | None = None  # of the file that was read last
+        self._has_snapshot = False
+        self.poll()
+
+    def poll(self) -> None:
+        """Read the file if it changed, and schedule the next poll."""
         try:
-            found = os.stat(self.path)
-            stamp = (found.st_mtime_ns, found.st_size, found.st_ino)
-            if stamp != self.stamp:
-                self.take(read_endpoint_list(self.path, self.loop.clock() - self.wall()))
-                self.stamp = stamp
+            version = _version_of(self._path)
+            if version != self._version:
+                clock_offset = self._loop.clock() - self._wall()
+                self._report(read_endpoint_list(self._path, clock_offset))
+                self._version = version
         except (ConfigError, OSError) as error:
-            self.on_trouble(str(error))
-        self.loop.call_later(self.every, self.check)
-
-    def take(self, entries: dict[str, ServerEntry]) -> None:
-        if not self.heard:
-            self.heard, self.entries = True, entries
-            self.on_list(ListReceived(ListKind.FULL, tuple(entries.values())))
+            self._on_error(str(error))
+        self._loop.call_later(self._interval, self.poll)
+
+    def _report(self, entries: dict[str, ServerEntry]) -> None:
+        if not self._has_snapshot:
+            self._has_snapshot = True
+            self.entries = entries
+            self._on_list(ListReceived(ListKind.FULL, tuple(entries.values())))
             return
-        news = diff_endpoint_lists(self.entries, entries)
-        # An entry that is the same keeps the start time as first heard.
+        changed = diff_endpoint_lists(self.entries, entries)
+        # An entry that is the same keeps the start time that was read first.
         self.entries = {
-            server: self.entries[server] if same(self.entries.get(server), entry) else entry
+            server: self.entries[server] if _is_same(self.entries.get(server), entry) else entry
             for server, entry in entries.items()
         }
-        if news:
-            self.on_list(ListReceived(ListKind.CHANGES, news))
+        if changed:
+            self._on_list(ListReceived(ListKind.CHANGES, changed))
+
+
+def _read_rows(path: Path) -> list[ListRow]:
+    text = path.read_text()
+    if path.suffix == ".json":
+        return [ListRow(0, given) for given in _read_json(path, text)]
+    return list(_read_hcl(path, text))
+
+
+def _read_json(path: Path, text: str) -> list[Any]:
+    try:
+        given = orjson.loads(text)["boxes"]
+        if not isinstance(given, list):
+            raise TypeError("boxes is no list")
+    except (ValueError, KeyError, TypeError) as error:
+        expected = f"expected a JSON list of boxes: {error}"
+        raise ConfigError([Problem(str(path), 1, "boxes", expected)]) from error
+    return given
+
+
+def _read_hcl(path: Path, text: str) -> Iterator[ListRow]:
+    for block in parse(text, str(path)).blocks:
+        values = {key: value.value for key, value in block.values.items()}
+        yield ListRow(block.line, {"address": " ".join(block.labels)} | values)
+
+
+def _read_entry(given: Any, clock_offset: float) -> ServerEntry:
+    if not isinstance(given, dict):
+        raise Bad("expected an object")
+    unknown = set(given) - KNOWN_KEYS
+    if unknown:
+        known = ", ".join(sorted(KNOWN_KEYS))
+        raise Bad(f"unknown key {min(unknown)}; known: {known}")
+    server = given.get("address")
+    address(server)
+    state, cell = given.get("state", "live"), given.get("cell", 0)
+    if state not in ("live", "draining"):
+        raise Bad(f"expected state live or draining, not {state!r}")
+    if not isinstance(cell, int) or cell < 0:
+        raise Bad(f"expected a cell of 0 or more, not {cell!r}")
+    up_since = given.get("up_since", 0)
+    if not isinstance(up_since, (int, float)):
+        raise Bad(f"expected up_since in seconds since 1970, not {up_since!r}")
+    return ServerEntry(
+        server=str(server),
+        zone=str(given.get("zone", "")),
+        cell=cell,
+        state=ServerState(state),
+        size=float(given.get("size", 1.0)),
+        up_since=up_since + clock_offset if up_since > 0 else 0.0,
+        kind=str(given.get("kind", "")),
+    )
+
+
+def _is_same(old: ServerEntry | None, new: ServerEntry) -> bool:
+    """Whether two entries differ by the variation of the clocks' offset at most."""
+    return (
+        old is not None
+        and abs(old.up_since - new.up_since) < MAX_START_DIFFERENCE
+        and replace(old, up_since=0.0) == replace(new, up_since=0.0)
+    )
+
+
+def _version_of(path: Path) -> FileVersion:
+    found = path.stat()
+    return FileVersion(found.st_mtime_ns, found.st_size, found.st_ino)
--- a/stepknot/nodes/rest_transport.py
+++ b/stepknot/nodes/rest_transport.py
@@ -53,7 +53,7 @@
                 partial(self.on_end, call),
                 not_after=min(each.not_after for each in group),
             )
-            self.on_event("call_sent", box=server, query=name, parts=len(group))
+            self.on_event("call_sent", server=server, query=name, parts=len(group))
             self.pool.start(server, call.exchange)
         return len(groups)
 
