--- a/bench/membership.py
+++ b/bench/membership.py
@@ -46,7 +46,7 @@
         {
             (change.name, int(when / 10))
             for when, _, change in model.log
-            if change.after is State.DEAD and when >= since and sound(change.name)
+            if change.new_state is State.DEAD and when >= since and sound(change.name)
         }
     )
 
@@ -121,7 +121,7 @@
         model.run(at + seconds)
         first: dict[str, float] = {}
         for when, by, change in model.log:
-            if change.name == "b1" and change.after is State.DEAD and when >= at:
+            if change.name == "b1" and change.new_state is State.DEAD and when >= at:
                 first.setdefault(by, when - at)
         result.detections = list(first.values())
         result.missed = size - 1 - len(first)
--- a/bench/membership_search.py
+++ b/bench/membership_search.py
@@ -31,7 +31,7 @@
         for when, at, change in day.model.log:
             click.echo(
                 f"{when:8.3f}  {at:<5} {change.name:<5} "
-                f"{change.after.name.lower() if change.after is not None else 'forgotten':<9} {change.why}"
+                f"{change.new_state.name.lower() if change.new_state is not None else 'forgotten':<9} {change.reason}"
             )
         click.echo(
             f"seed {replay}: {found.size} members, {', '.join(found.kinds)}: {found.wrong or 'all held'}; "
--- a/bench/scale_members.py
+++ b/bench/scale_members.py
@@ -193,11 +193,11 @@
 
     def make(settings: MembershipSettings, own: Record, seed: int) -> Timed:
         member = Timed(settings, record(int(own.name[1:]), State.JOINING), seed)
-        member.joined = True
-        member.become(-math.inf, state=State.ALIVE, why="it is settled")
+        member.member.has_joined = True
+        member.refutation.set_state(-math.inf, State.ALIVE, "it is settled")
         for each in records:
-            member.put(-math.inf, each, "it is settled")
-        member.news.left.clear()
+            member.view.merge(-math.inf, each, "it is settled")
+        member.view.gossip.rounds_left.clear()
         member.take()
         return member
 
@@ -235,9 +235,9 @@
 
 
 def table_of(count: int, most: int = ROOM) -> MembershipProtocol:
-    made = MembershipProtocol(MembershipSettings(most=most), record(0, State.JOINING), 1)
+    made = MembershipProtocol(MembershipSettings(max_records=most), record(0, State.JOINING), 1)
     for number in range(1, count):
-        made.put(1.0, record(number), "told")
+        made.view.merge(1.0, record(number), "told")
     return made
 
 
--- a/bench/trace_packages/membership.py
+++ b/bench/trace_packages/membership.py
@@ -12,7 +12,7 @@
 from stepknot.broker.membership_driver import MembershipDriver
 from stepknot.config.membership import Peers
 from stepknot.membership import wire
-from stepknot.membership.model import Change, Counts, MembershipSettings, Record, State
+from stepknot.membership.model import MemberCount, MembershipSettings, Record, State, StateChange
 from stepknot.simulation.membership_model import Address, Make, Model, Shipped
 from stepknot.simulation.membership_search import Day
 
@@ -45,22 +45,22 @@
         raise error
 
 
-def add_changes(trace: Trace, changes: list[Change]) -> None:
+def add_changes(trace: Trace, changes: list[StateChange]) -> None:
     """Changes of a view, with their evidence."""
     for change in changes:
-        trace.add(change.version, change.name, change.before, change.after, change.why)
+        trace.add(change.version, change.name, change.old_state, change.new_state, change.reason)
 
 
-def add_count(trace: Trace, count: Counts) -> None:
+def add_count(trace: Trace, count: MemberCount) -> None:
     """How many members there are."""
-    trace.add(count.at_least, count.at_most, count.sure)
+    trace.add(count.lower_bound, count.upper_bound, count.is_certain)
 
 
 def recording(trace: Trace) -> Make:
     """Members that record what they send, change and count."""
 
     class Recorded(Shipped):
-        def take(self) -> tuple[list[tuple[Address, bytes]], list[Change]]:
+        def take(self) -> tuple[list[tuple[Address, bytes]], list[StateChange]]:
             out, changes = super().take()
             for address, data in out:
                 trace.add(*address, data)
@@ -70,7 +70,8 @@
         def tick(self, now: float) -> None:
             super().tick(now)
             add_count(trace, self.count(now))
-            trace.add(self.isolated, self.isolated_why, self.stepped_aside, self.stood_still)
+            trace.add(self.isolation.is_isolated, self.isolation.reason)
+            trace.add(self.member.stepped_aside, self.health.last_stall)
 
     return Recorded
 
@@ -131,27 +132,33 @@
     kind = chance.randrange(7)
     if kind == 0:
         numbers = chance.randrange(-1, 5000), chance.randrange(2**62), chance.randrange(-1, 3)
-        return wire.Beat(*numbers, chance.random() < 0.5, chance.random() < 0.5)
+        return wire.Heartbeat(*numbers, chance.random() < 0.5, chance.random() < 0.5)
     if kind == 1:
-        return wire.Ask([any_record(chance).name for _ in range(chance.randrange(5))])
+        return wire.IndirectProbeRequest(
+            [any_record(chance).name for _ in range(chance.randrange(5))]
+        )
     if kind == 2:
         sign = any_record(chance)
-        return wire.Tell([wire.Sign(sign.name, *sign.process, chance.randrange(-1, 9000))])
+        return wire.IndirectProbeAnswer(
+            [wire.Observation(sign.name, *sign.process, chance.randrange(-1, 9000))]
+        )
     if kind == 3:
-        return wire.Join()
+        return wire.JoinRequest()
     if kind == 4:
-        return wire.News(
+        return wire.Gossip(
             [any_record(chance) for _ in range(chance.randrange(9))],
             [
-                wire.Short(
+                wire.ShortUpdate(
                     chance.choice(identities), chance.randrange(3), State(chance.randrange(5))
                 )
                 for _ in range(chance.randrange(4))
             ],
         )
     if kind == 5:
-        return wire.Need([chance.choice(identities)], chance.randbytes(chance.randrange(60)))
-    return wire.Sync(
+        return wire.RecordRequest(
+            [chance.choice(identities)], chance.randbytes(chance.randrange(60))
+        )
+    return wire.AntiEntropyRequest(
         chance.randrange(64), chance.randrange(64), chance.randbytes(chance.randrange(60))
     )
 
@@ -161,7 +168,7 @@
     for seed in range(9):
         chance, loop = random.Random(seed), StillLoop(trace)
         settings = MembershipSettings(
-            most=12, tombstone=60.0, configured=5, seeds=(("127.0.0.1", 1), ("127.0.0.1", 2))
+            max_records=12, tombstone=60.0, configured=5, seeds=(("127.0.0.1", 1), ("127.0.0.1", 2))
         )
         peers = Peers(
             "me", ("127.0.0.1", 9600), None, settings if seed % 3 else MembershipSettings()
--- a/stepknot/config/membership.py
+++ b/stepknot/config/membership.py
@@ -1,4 +1,4 @@
-"""The `peers` block: who this broker is among its like, and whom it asks to be let in."""
+"""The `peers` block: this broker as a member of its fleet, the seeds, and the membership settings."""
 
 from __future__ import annotations
 
@@ -10,16 +10,30 @@
 from stepknot.membership.model import MembershipSettings
 
 DEFAULT = MembershipSettings()
+MAX_NAME_LENGTH = 64  # characters
+MIN_PERIOD, MAX_PERIOD = 0.05, 10.0  # seconds
+MIN_PAUSE_PERIODS = 4
+MIN_TOMBSTONE_PAUSES = 10
 
 
 def name(value: Any) -> str:
+    """Read a member's or a fleet's name.
+
+    Raises:
+        Bad: It is too long, or not printable.
+    """
     found = text(value)
-    if len(found) > 64 or not found.isprintable():
+    if len(found) > MAX_NAME_LENGTH or not found.isprintable():
         raise Bad("expected a name of 64 printable characters at the most")
     return found
 
 
 def addresses(value: Any) -> tuple[tuple[str, int], ...]:
+    """Read the seeds' addresses.
+
+    Raises:
+        Bad: They are no list of different addresses with ports.
+    """
     if not isinstance(value, list):
         raise Bad('expected a list of addresses such as ["10.0.0.4:9600"]')
     found = tuple(map(address, value))
@@ -40,7 +54,7 @@
     "period": Key(duration, DEFAULT.period),
     "pause": Key(duration, DEFAULT.pause),
     "tombstone": Key(duration, DEFAULT.tombstone),
-    "most": Key(count(8, 100_000), DEFAULT.most),
+    "most": Key(count(8, 100_000), DEFAULT.max_records),
     "rate": Key(size, int(DEFAULT.rate)),
     "rings": Key(count(2, 16), DEFAULT.rings),
 }
@@ -48,7 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Peers:
-    """`listen`: where datagrams come in; `advertise`: where others send them, where that differs."""
+    """The `peers` block of a broker.
+
+    `listen` is the address where datagrams come in, and `advertise` the one where others send them, if that differs.
+    """
 
     name: str
     listen: tuple[str, int]
@@ -59,7 +76,17 @@
 def read_peers(
     checker: Checker, block: Block | None, listen: tuple[str, int] | None, instances: int | None
 ) -> Peers | None:
-    """None where there is no such block, or it is switched off."""
+    """Read the `peers` block; problems go to the checker.
+
+    Args:
+        checker: Of the settings file.
+        block: The block, or none where the file has none.
+        listen: The broker's address for queries: its name where the block has none.
+        instances: How many brokers the settings name.
+
+    Returns:
+        None where there is no such block, where it is switched off, or where it has problems.
+    """
     if block is None:
         return None
     got = checker.read(block, TABLE, "peers.")
@@ -71,14 +98,14 @@
             block.values[key].line if key in block.values else block.line, f"peers.{key}", expected
         )
 
-    if not 0.05 <= got["period"] <= 10.0:
+    if not MIN_PERIOD <= got["period"] <= MAX_PERIOD:
         wrong("period", 'expected from "50ms" to "10s"')
-    if got["pause"] < 4 * got["period"]:
+    if got["pause"] < MIN_PAUSE_PERIODS * got["period"]:
         wrong(
             "pause",
             "expected four periods or more: whoever stands still is suspect for that long first",
         )
-    if got["tombstone"] < 10 * got["pause"]:
+    if got["tombstone"] < MIN_TOMBSTONE_PAUSES * got["pause"]:
         wrong(
             "tombstone",
             "expected ten pauses or more: it tells for how long a cut-off broker may live on",
@@ -99,7 +126,7 @@
             period=got["period"],
             pause=got["pause"],
             tombstone=got["tombstone"],
-            most=got["most"],
+            max_records=got["most"],
             rate=float(got["rate"]),
             burst=8.0 * got["rate"],
             rings=got["rings"],
--- a/stepknot/leases/model.py
+++ b/stepknot/leases/model.py
@@ -15,9 +15,9 @@
 VERSION = 1
 MOST_VALUE = 900  # bytes of a job's record
 MOST_JOBS = 64
-MOST_EPOCH = 2**50
+MAX_EPOCH = 2**50
 NAME = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
-EPOCH = Annotated[int, msgspec.Meta(ge=0, lt=MOST_EPOCH)]
+EPOCH = Annotated[int, msgspec.Meta(ge=0, lt=MAX_EPOCH)]
 STEP = Annotated[int, msgspec.Meta(ge=0, lt=2**50)]
 LIFE = Annotated[int, msgspec.Meta(ge=0, lt=2**31)]
 VALUE = Annotated[bytes, msgspec.Meta(max_length=MOST_VALUE)]
--- a/stepknot/membership/gossip.py
+++ b/stepknot/membership/gossip.py
@@ -1,40 +1,48 @@
-"""News that go round: each name's record is pushed in a few rounds, to fewer members where many come at once."""
+"""The queue of gossip updates: a changed record is sent in a few rounds, to fewer members where many change at once."""
 
 from __future__ import annotations
 
 import math
 
 
-class News:
-    """Names whose records changed, with the rounds that are left."""
+class GossipQueue:
+    """Names whose records changed, with the rounds that are left for each.
 
-    def __init__(self, rounds: int, storm: int) -> None:
-        """`storm`: news a second beyond which what comes in through many hands would be sent many times for nothing;
-        comparing tables finds what is missed."""
-        self.rounds, self.storm = rounds, storm
-        self.left: dict[str, int] = {}
-        self.heard, self.heard_at = 0.0, 0.0
+    In a storm, which is more than `storm_rate` updates a second, an update would reach each member many times. Then the
+    fan-out is one, and anti-entropy finds what is missed.
+    """
+
+    def __init__(self, rounds: int, storm_rate: int) -> None:
+        self.rounds = rounds
+        self.storm_rate = storm_rate  # updates a second
+        self.rounds_left: dict[str, int] = {}
+        self.recent, self.recent_at = 0.0, 0.0  # decaying count of updates, and when it held
 
     def add(self, now: float, name: str) -> None:
-        self.left[name] = self.rounds
-        self.heard, self.heard_at = self.rate(now) + 1, now
+        """Take a changed record."""
+        self.rounds_left[name] = self.rounds
+        self.recent = self.update_rate(now) + 1
+        self.recent_at = now
 
-    def only(self, name: str, rounds: int) -> None:
-        self.left = {name: rounds}
+    def replace_all(self, name: str, rounds: int) -> None:
+        """Send nothing but this record, in so many rounds."""
+        self.rounds_left = {name: rounds}
 
-    def rate(self, now: float) -> float:
-        """News of about the last second."""
-        return self.heard * math.exp2(self.heard_at - now) if self.heard else 0.0
+    def update_rate(self, now: float) -> float:
+        """Updates of about the last second."""
+        return self.recent * math.exp2(self.recent_at - now) if self.recent else 0.0
 
-    def fanout(self, now: float, most: int) -> int:
-        return most if self.rate(now) <= self.storm else 1
+    def fanout(self, now: float, max_fanout: int) -> int:
+        """To how many members a round goes."""
+        return max_fanout if self.update_rate(now) <= self.storm_rate else 1
 
-    def pick(self, most: int) -> list[str]:
-        """Those that went out least."""
-        return sorted(self.left, key=lambda name: -self.left[name])[:most]
+    def pick(self, max_updates: int) -> list[str]:
+        """The names that were sent in the fewest rounds."""
+        return sorted(self.rounds_left, key=lambda name: -self.rounds_left[name])[:max_updates]
 
-    def went(self, names: list[str]) -> None:
+    def mark_sent(self, names: list[str]) -> None:
+        """Count a round for these names."""
         for name in names:
-            self.left[name] -= 1
-            if self.left[name] <= 0:
-                del self.left[name]
+            self.rounds_left[name] -= 1
+            if self.rounds_left[name] <= 0:
+                del self.rounds_left[name]
--- /dev/null
+++ b/stepknot/membership/isolation.py
@@ -0,0 +1,64 @@
+"""Whether this member is cut off from most others (invariant 3): since when, and why."""
+
+from __future__ import annotations
+
+import math
+from collections import Counter
+
+from stepknot.membership import counters
+from stepknot.membership.correlated_failures import why_isolated
+from stepknot.membership.model import MembershipSettings
+from stepknot.membership.own_member import OwnMember
+from stepknot.membership.view import MembershipView
+
+
+class Isolation:
+    """`since` is infinite and `reason` empty while this member is not isolated."""
+
+    def __init__(
+        self,
+        settings: MembershipSettings,
+        own: OwnMember,
+        view: MembershipView,
+        counts: Counter[str],
+    ) -> None:
+        self._settings = settings
+        self._own = own
+        self._view = view
+        self._counts = counts
+        self.since = math.inf  # seconds
+        self.reason = ""
+
+    @property
+    def is_isolated(self) -> bool:
+        """Whether this member takes itself for isolated."""
+        return self.since < math.inf
+
+    def update(self, now: float) -> None:
+        """Look at the neighbours and the states of all members."""
+        reason = self._find_reason(now)
+        if not reason:
+            self._end(now)
+        elif not self.is_isolated:
+            self.begin(now, reason)
+            self._counts[counters.ISOLATED] += 1
+
+    def begin(self, now: float, reason: str) -> None:
+        """This member takes itself for isolated from now on."""
+        self.since, self.reason = now, reason
+
+    def shift(self, gap: float) -> None:
+        """Move the time by the seconds in which this member stood still."""
+        self.since += gap
+
+    def _end(self, now: float) -> None:
+        if self.is_isolated:
+            # The subjects that were silent meanwhile get the full time again.
+            for subject in self._view.subjects.values():
+                subject.observed_since = now
+        self.since, self.reason = math.inf, ""
+
+    def _find_reason(self, now: float) -> str:
+        if not self._own.has_joined:
+            return "no seed has let it in"
+        return why_isolated(self._view.table, self._view.subjects.values(), self._settings, now)
--- a/stepknot/membership/model.py
+++ b/stepknot/membership/model.py
@@ -1,8 +1,8 @@
-"""What membership is told, and what it says: plain fields, times and durations in seconds.
+"""Data types of membership: records, states, settings, state changes, counts. Times and durations in seconds.
 
-A `Record` is what members tell each other of a member. Records of one name are ordered by `rank`, and the greater one
-wins wherever two meet: views are joined by taking the greatest of each name, so the order of messages, copies and
-repeats do not matter (a join-semilattice).
+A `Record` describes one member. Records of one name are ordered by `rank`, and the greater one wins wherever two meet.
+Views are merged by the greatest record of each name, so order, duplicates and repetitions of messages do not matter
+(a join-semilattice).
 """
 
 from __future__ import annotations
@@ -13,19 +13,20 @@
 
 import msgspec
 
-NAME = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
-MOST_EPOCH, MOST_INCARNATION = 2**50, 2**31  # what is beyond is absurd, and no record
-UNBOUNDED = 1_000_000_000  # a count to divide by when nothing at all may be taken for granted
+Address = tuple[str, int]
+MemberName = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
+MAX_EPOCH, MAX_INCARNATION = 2**50, 2**31  # exclusive; a record beyond them is malformed
+UNBOUNDED = 1_000_000_000  # the upper bound of a count of which nothing is known
 
 
 class State(IntEnum):
-    """Of two records alike but for it, the greater one is the newer."""
+    """States of a member. Of two records that differ in the state alone, the one with the greater state is newer."""
 
-    JOINING = 0  # it asks to be let in and knows nobody yet
+    JOINING = 0  # it sent a join request and knows no other member yet
     ALIVE = 1
-    SUSPECT = 2  # silent to those that watch it: told so, it may still prove itself
+    SUSPECT = 2  # its observers receive nothing from it; it may still refute that
     DEAD = 3
-    LEFT = 4  # by its own word
+    LEFT = 4  # it announced its leave itself
 
 
 PRESENT_STATES = (State.JOINING, State.ALIVE, State.SUSPECT)
@@ -33,83 +34,93 @@
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True):
-    """A member. `epoch` grows with each process under the name, `birth` tells two with the same epoch apart; within one
-    process `incarnation` grows each time it proves wrong what was said of it."""
+    """One member, as members describe it to each other.
 
-    name: NAME
+    `epoch` grows with each process under the name, and `birth` (random) tells apart two processes with one epoch.
+    Within one process `incarnation` grows with each refutation.
+    """
+
+    name: MemberName
     host: Annotated[str, msgspec.Meta(min_length=1, max_length=45)]
     port: Annotated[int, msgspec.Meta(ge=1, le=65535)]
-    epoch: Annotated[int, msgspec.Meta(ge=0, lt=MOST_EPOCH)]
+    epoch: Annotated[int, msgspec.Meta(ge=0, lt=MAX_EPOCH)]
     birth: Annotated[int, msgspec.Meta(ge=0, lt=2**32)]
-    incarnation: Annotated[int, msgspec.Meta(ge=0, lt=MOST_INCARNATION)]
+    incarnation: Annotated[int, msgspec.Meta(ge=0, lt=MAX_INCARNATION)]
     state: State
 
     @property
     def process(self) -> tuple[int, int]:
-        """Which process under the name."""
+        """Which process under the name it describes: (epoch, birth)."""
         return self.epoch, self.birth
 
     @property
     def rank(self) -> tuple[int, int, int, int]:
+        """The order of records of one name; the greatest is the newest."""
         return self.epoch, self.birth, self.incarnation, self.state
 
     @property
-    def address(self) -> tuple[str, int]:
+    def address(self) -> Address:
+        """Host and port of its membership socket."""
         return self.host, self.port
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """`docs/membership.md` derives each default. Sizes in bytes, of datagrams' contents."""
+    """Time-outs and limits in one type; `docs/membership.md` derives each default.
+
+    `period`, `rings`, `pause`, `tombstone`, `rate` and `burst` are named like the keys of the `peers` block. Sizes are
+    bytes of datagrams' contents.
+    """
 
     fleet: str = "stepknot"
-    seeds: tuple[tuple[str, int], ...] = ()
-    configured: int = 1  # brokers that the settings name: the count while unsure
-    period: float = 0.5  # between two beats to one watched member
-    rings: int = 4  # each gives a member two that it watches, and that watch it
-    pause: float = 5.0  # a member that stands still for this long is not taken for dead
-    helpers: int = (
-        4  # others asked about a silent member, each two periods; twice as many once it is suspect
+    seeds: tuple[Address, ...] = ()
+    configured: int = 1  # brokers that the settings name: the count while it is uncertain
+    period: float = 0.5  # between two heartbeats to one member
+    rings: int = 4  # each gives a member two observers, and two subjects
+    pause: float = 5.0  # a member that stands still for no longer is not declared dead
+    # Members asked for an indirect probe, each two periods; twice as many where more ways are known.
+    probe_helpers: int = 4
+    min_confirmations: int = (
+        3  # helpers without a younger observation before a suspicion or a death
     )
-    proofs: int = 3  # others that must have nothing fresher before a member is suspect or dead
-    fanout: int = 3  # members that news are pushed to in a round
-    rounds: int = 2
+    gossip_fanout: int = 3  # members that an update is sent to in a round
+    gossip_rounds: int = 2
     tombstone: float = 600.0  # for which the dead are remembered
-    most: int = 1024  # records kept; what is beyond is counted and not taken
-    rate: float = 2000.0  # sent a second, on the long run
-    burst: float = 16_000.0  # on top, after quiet times
+    max_records: int = 1024  # further records are counted and rejected
+    rate: float = 2000.0  # bytes sent a second, on the long run
+    burst: float = 16_000.0  # bytes on top, after quiet times
 
     @property
     def suspect_after(self) -> float:
-        """Four beats lost in a row, and nobody asked has heard more."""
+        """Four heartbeats lost in a row, and no helper received anything later."""
         return 4 * self.period
 
     @property
     def dead_after(self) -> float:
-        """A pause that is borne, with the beat before it and the way of the one after it."""
+        """The tolerated pause, with the heartbeat before it and the way of the one after it."""
         return self.pause + self.period
 
     @property
-    def step(self) -> float:
-        """Between two calls of `tick`."""
+    def tick_interval(self) -> float:
+        """Between two calls of `MembershipProtocol.tick`."""
         return self.period / 5
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """A member's state changed in this view; `version` grows by one with each."""
+class StateChange:
+    """A member's state changed in this view; `version` grows by one with each change."""
 
     version: int
     name: str
-    before: State | None
-    after: State | None  # none: forgotten
-    why: str
+    old_state: State | None  # none: the name was unknown
+    new_state: State | None  # none: the record was forgotten
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Counts:
-    """How many brokers there are: `at_least` are proven, and no more than `at_most` may truly be there."""
+class MemberCount:
+    """How many brokers there are, as bounds: `lower_bound` are proven, and no more than `upper_bound` may run."""
 
-    at_least: int
-    at_most: int
-    sure: bool
+    lower_bound: int
+    upper_bound: int
+    is_certain: bool
--- a/stepknot/membership/rings.py
+++ b/stepknot/membership/rings.py
@@ -1,9 +1,9 @@
-"""Who watches whom: rings of all members in orders that differ, each member watched by its neighbours in every ring.
+"""Who observes whom: rings of all members in orders that differ, each member observed by its neighbours in every ring.
 
-Such a graph is an expander with high probability (Rapid, Suresh et al. 2018): however a part of the fleet is cut off,
-many edges cross the cut. All members derive the same graph from the same view, and no message is needed for it.
-A suspect is passed by: whoever is behind it gets a further watcher, so that a fleet that loses most of itself at once
-still watches all that are left.
+Such a graph is an expander with high probability (Rapid, Suresh et al. 2018): whichever part of the fleet is cut off,
+many edges cross the cut. All members derive the same graph from the same view, without any message. A suspect is
+skipped: the member behind it gets one more observer, so a fleet that loses most of its members at once still observes
+all that are left.
 """
 
 from __future__ import annotations
@@ -11,49 +11,65 @@
 from bisect import bisect_left, insort
 from collections.abc import Callable
 from hashlib import blake2b
+from typing import NamedTuple
 
-FARTHEST = 32  # members passed by in one direction at the most
+MAX_SKIPPED = 32  # members in one direction
+RingPosition = tuple[bytes, str]
 
 
-def place(name: str, ring: int) -> tuple[bytes, str]:
-    return blake2b(name.encode(), digest_size=8, salt=bytes([ring])).digest(), name
+class Neighbours(NamedTuple):
+    """A member's neighbours in all rings; the dicts are ordered sets of names."""
+
+    nearest: dict[str, None]  # the first in each direction that is not skipped
+    skipped: dict[str, None]  # those between
 
 
-class Rings:
+class ObserverRings:
     """Invariant: each ring holds the same names, in its own order."""
 
     def __init__(self, count: int) -> None:
-        self.rings: list[list[tuple[bytes, str]]] = [[] for _ in range(count)]
-        self.places: dict[str, list[tuple[bytes, str]]] = {}
+        self.rings: list[list[RingPosition]] = [[] for _ in range(count)]
+        self.positions: dict[str, list[RingPosition]] = {}
 
     def add(self, name: str) -> None:
-        if name not in self.places:
-            self.places[name] = [place(name, ring) for ring in range(len(self.rings))]
-            for ring, own in zip(self.rings, self.places[name], strict=True):
+        """Take a member into all rings."""
+        if name not in self.positions:
+            self.positions[name] = [ring_position(name, ring) for ring in range(len(self.rings))]
+            for ring, own in zip(self.rings, self.positions[name], strict=True):
                 insort(ring, own)
 
-    def drop(self, name: str) -> None:
-        for ring, own in zip(self.rings, self.places.pop(name, ()), strict=False):
+    def remove(self, name: str) -> None:
+        """Take a member out of all rings."""
+        for ring, own in zip(self.rings, self.positions.pop(name, ()), strict=False):
             del ring[bisect_left(ring, own)]
 
-    def around(
-        self, name: str, passed: Callable[[str], bool]
-    ) -> tuple[dict[str, None], dict[str, None]]:
-        """The nearest that are not `passed` in all directions, and those passed on the way."""
+    def neighbours_of(self, name: str, is_skipped: Callable[[str], bool]) -> Neighbours:
+        """The nearest members that are not skipped, in both directions of each ring, and the skipped ones between."""
+        if len(self.positions) <= 2 * len(self.rings) + 1:
+            return self._all_others(name, is_skipped)
         nearest: dict[str, None] = {}
         between: dict[str, None] = {}
-        if len(self.places) <= 2 * len(self.rings) + 1:  # few: everybody watches everybody
-            for other in self.places:
-                if other != name:
-                    (between if passed(other) else nearest)[other] = None
-            return nearest, between
-        for ring, own in zip(self.rings, self.places[name], strict=True):
+        for ring, own in zip(self.rings, self.positions[name], strict=True):
             at = bisect_left(ring, own)
             for direction in (1, -1):
-                for step in range(1, min(FARTHEST, len(ring) - 1) + 1):
+                for step in range(1, min(MAX_SKIPPED, len(ring) - 1) + 1):
                     other = ring[(at + direction * step) % len(ring)][1]
-                    if not passed(other):
+                    if not is_skipped(other):
                         nearest[other] = None
                         break
                     between[other] = None
-        return nearest, between
+        return Neighbours(nearest, between)
+
+    def _all_others(self, name: str, is_skipped: Callable[[str], bool]) -> Neighbours:
+        """In a small fleet all members observe all others."""
+        nearest: dict[str, None] = {}
+        skipped: dict[str, None] = {}
+        for other in self.positions:
+            if other != name:
+                (skipped if is_skipped(other) else nearest)[other] = None
+        return Neighbours(nearest, skipped)
+
+
+def ring_position(name: str, ring: int) -> RingPosition:
+    """A member's place in one ring."""
+    return blake2b(name.encode(), digest_size=8, salt=bytes([ring])).digest(), name
--- a/stepknot/simulation/membership_baselines.py
+++ b/stepknot/simulation/membership_baselines.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from stepknot.membership.model import Change, Counts, MembershipSettings, Record, State
+from stepknot.membership.model import MemberCount, MembershipSettings, Record, State, StateChange
 
 Address = tuple[str, int]
 SECOND = 1.0
@@ -40,27 +40,27 @@
         }
         self.held = dict.fromkeys(self.addresses, State.ALIVE)
         self.out: list[tuple[Address, bytes]] = []
-        self.changes: list[Change] = []
+        self.changes: list[StateChange] = []
         self.next = -math.inf
 
     def states(self) -> dict[str, State]:
         return dict(self.held)
 
-    def take(self) -> tuple[list[tuple[Address, bytes]], list[Change]]:
+    def take(self) -> tuple[list[tuple[Address, bytes]], list[StateChange]]:
         out, self.out = self.out, []
         changes, self.changes = self.changes, []
         return out, changes
 
-    def count(self, now: float) -> Counts:
+    def count(self, now: float) -> MemberCount:
         alive = sum(state is not State.DEAD for state in self.held.values())
-        return Counts(alive, alive, True)
+        return MemberCount(alive, alive, True)
 
     def leave(self, now: float) -> None:
         return None
 
     def hold(self, name: str, state: State, why: str) -> None:
         if self.held[name] is not state:
-            self.changes.append(Change(len(self.changes), name, self.held[name], state, why))
+            self.changes.append(StateChange(len(self.changes), name, self.held[name], state, why))
             self.held[name] = state
 
     def send(self, name: str, *message: Any) -> None:
--- a/stepknot/simulation/membership_model.py
+++ b/stepknot/simulation/membership_model.py
@@ -14,7 +14,7 @@
 from hashlib import blake2b
 from typing import Any, Protocol
 
-from stepknot.membership.model import Change, Counts, MembershipSettings, Record, State
+from stepknot.membership.model import MemberCount, MembershipSettings, Record, State, StateChange
 from stepknot.membership.protocol import MembershipProtocol
 
 Address = tuple[str, int]
@@ -24,14 +24,14 @@
 class Member(Protocol):
     """What is run here: `MembershipProtocol`, or one of the baselines."""
 
-    own: Record
-
+    @property
+    def own(self) -> Record: ...
     def tick(self, now: float) -> None: ...
     def receive(self, now: float, data: bytes) -> None: ...
     def leave(self, now: float) -> None: ...
-    def take(self) -> tuple[list[tuple[Address, bytes]], list[Change]]: ...
+    def take(self) -> tuple[list[tuple[Address, bytes]], list[StateChange]]: ...
     def states(self) -> dict[str, State]: ...
-    def count(self, now: float) -> Counts: ...
+    def count(self, now: float) -> MemberCount: ...
 
 
 class Shipped(MembershipProtocol):
@@ -84,7 +84,7 @@
         self.count = 0
         self.processes: dict[str, Process] = {}
         self.by_address: dict[Address, Process] = {}
-        self.log: list[tuple[float, str, Change]] = []
+        self.log: list[tuple[float, str, StateChange]] = []
         self.epoch = 1000
         names = [f"b{number}" for number in range(size)]
         seeds = tuple(("127.0.0.1", 1 + number) for number in range(min(size, 3)))
@@ -170,7 +170,7 @@
             self.carry(process)
         if not once:
             self.at(
-                self.now + self.settings.step * self.random.uniform(0.95, 1.05),
+                self.now + self.settings.tick_interval * self.random.uniform(0.95, 1.05),
                 lambda: self.tick(process),
             )
 
@@ -233,7 +233,7 @@
         for when, at, change in self.log:
             process = self.processes.get(change.name)
             if (
-                change.after is State.DEAD
+                change.new_state is State.DEAD
                 and process is not None
                 and process.ended > when
                 and not process.left
--- a/stepknot/simulation/membership_search.py
+++ b/stepknot/simulation/membership_search.py
@@ -154,10 +154,12 @@
         for process in model.up():
             member, table = process.member, process.member.table  # type: ignore[attr-defined]
             count = member.count(now)
-            if now >= process.paused_until and now > 3.0 and count.at_most < running:
-                return f"{now:.2f} s: at most {count.at_most} by {process.name}, and {running} run"
-            if now > 3.0 and count.at_least > most_lately:
-                return f"{now:.2f} s: at least {count.at_least} by {process.name}, and {most_lately} ran lately"
+            if now >= process.paused_until and now > 3.0 and count.upper_bound < running:
+                return (
+                    f"{now:.2f} s: at most {count.upper_bound} by {process.name}, and {running} run"
+                )
+            if now > 3.0 and count.lower_bound > most_lately:
+                return f"{now:.2f} s: at least {count.lower_bound} by {process.name}, and {most_lately} ran lately"
             if process.sent > settings.rate * (now - process.started) + 2 * settings.burst:
                 return f"{now:.2f} s: {process.name} sent {process.sent} bytes"
             if sum(table.counts) != len(table.records) or any(
--- a/stepknot/simulation/scale_model.py
+++ b/stepknot/simulation/scale_model.py
@@ -130,7 +130,7 @@
             change.name
             for when, _, change in model.log
             if when >= since
-            and change.after is State.DEAD
+            and change.new_state is State.DEAD
             and change.name not in struck | set(crashed)
         )
 
--- a/tests/leases/test_decisions.py
+++ b/tests/leases/test_decisions.py
@@ -28,7 +28,7 @@
 from stepknot.leases.place import order
 from stepknot.leases.quorum import sound
 from stepknot.leases.voter import Voter
-from stepknot.membership.wire import MOST_BYTES
+from stepknot.membership.wire import MAX_DATAGRAM_BYTES
 from stepknot.simulation.fleet import settings_text
 
 SETTINGS = m.OwnerSettings(("A", "B", "C"))
@@ -128,10 +128,10 @@
     jobs = [
         m.JobRecord(
             "j" * 62 + f"{number:02}",
-            m.MOST_EPOCH - 1,
+            m.MAX_EPOCH - 1,
             "h" * 64,
             2**62,
-            m.Held(m.MOST_EPOCH - 1, 2**49, bytes(m.MOST_VALUE)),
+            m.Held(m.MAX_EPOCH - 1, 2**49, bytes(m.MOST_VALUE)),
         )
         for number in range(m.MOST_JOBS)
     ]
@@ -321,7 +321,7 @@
                 now, m.encode("stepknot", (chance.choice("ABCxy"), chance.randrange(3)), message)
             )
             found.tick(now, ["A", "B", "x"])
-            assert all(len(data) <= MOST_BYTES for _, data, _ in found.take()[0])
+            assert all(len(data) <= MAX_DATAGRAM_BYTES for _, data, _ in found.take()[0])
 
 
 def test_orders_are_bounded_and_end_in_time() -> None:
--- a/tests/membership/test_datagrams.py
+++ b/tests/membership/test_datagrams.py
@@ -7,7 +7,7 @@
 import pytest
 
 from stepknot.membership import wire
-from stepknot.membership.model import MOST_EPOCH, MOST_INCARNATION, Record, State
+from stepknot.membership.model import MAX_EPOCH, MAX_INCARNATION, Record, State
 
 pytestmark = pytest.mark.cpu_only
 
@@ -17,31 +17,31 @@
     "\U0001f004" * 64,
     "1" * 45,
     65_535,
-    MOST_EPOCH - 1,
+    MAX_EPOCH - 1,
     2**32 - 1,
-    MOST_INCARNATION - 1,
+    MAX_INCARNATION - 1,
     State.SUSPECT,
 )
 DATAGRAMS: dict[str, wire.Message] = {
-    "heartbeat_never_received": wire.Beat(-1, 0),
-    "heartbeat": wire.Beat(431, 2**62 - 1),
-    "heartbeat_to_a_suspect": wire.Beat(5_000, 77, 3, True, True),
-    "indirect_probe_request": wire.Ask(["b1", "b2", "\U0001f004"]),
-    "indirect_probe_request_empty": wire.Ask([]),
-    "indirect_probe_answer": wire.Tell(
-        [wire.Sign("b1", 1_790_000_000_001, 12, 0), wire.Sign("b2", 9, 8, -1)]
+    "heartbeat_never_received": wire.Heartbeat(-1, 0),
+    "heartbeat": wire.Heartbeat(431, 2**62 - 1),
+    "heartbeat_to_a_suspect": wire.Heartbeat(5_000, 77, 3, True, True),
+    "indirect_probe_request": wire.IndirectProbeRequest(["b1", "b2", "\U0001f004"]),
+    "indirect_probe_request_empty": wire.IndirectProbeRequest([]),
+    "indirect_probe_answer": wire.IndirectProbeAnswer(
+        [wire.Observation("b1", 1_790_000_000_001, 12, 0), wire.Observation("b2", 9, 8, -1)]
     ),
-    "gossip_of_full_records": wire.News([SENDER, LONGEST]),
-    "gossip_of_short_updates": wire.News(
-        [], [wire.Short(2**62 - 1, 0, State.DEAD), wire.Short(7, 4, State.ALIVE)]
+    "gossip_of_full_records": wire.Gossip([SENDER, LONGEST]),
+    "gossip_of_short_updates": wire.Gossip(
+        [], [wire.ShortUpdate(2**62 - 1, 0, State.DEAD), wire.ShortUpdate(7, 4, State.ALIVE)]
     ),
-    "gossip_of_both": wire.News(
-        [Record("b3", "::1", 1, 0, 0, 0, State.JOINING)], [wire.Short(0, 1, State.LEFT)]
+    "gossip_of_both": wire.Gossip(
+        [Record("b3", "::1", 1, 0, 0, 0, State.JOINING)], [wire.ShortUpdate(0, 1, State.LEFT)]
     ),
-    "join_request": wire.Join(),
-    "anti_entropy_request": wire.Sync(0, 63, bytes(range(16))),
-    "record_request_by_identity": wire.Need([1, 2**61]),
-    "record_request_by_fingerprint": wire.Need(prints=b"abcdefgh"),
+    "join_request": wire.JoinRequest(),
+    "anti_entropy_request": wire.AntiEntropyRequest(0, 63, bytes(range(16))),
+    "record_request_by_identity": wire.RecordRequest([1, 2**61]),
+    "record_request_by_fingerprint": wire.RecordRequest(fingerprints=b"abcdefgh"),
 }
 
 
--- a/tests/membership/test_decisions.py
+++ b/tests/membership/test_decisions.py
@@ -13,16 +13,16 @@
 
 from stepknot.membership import wire
 from stepknot.membership.model import (
-    MOST_EPOCH,
-    MOST_INCARNATION,
+    MAX_EPOCH,
+    MAX_INCARNATION,
     PRESENT_STATES,
     MembershipSettings,
     Record,
     State,
 )
 from stepknot.membership.protocol import MembershipProtocol
-from stepknot.membership.rings import Rings
-from stepknot.membership.table import Table, identity_of
+from stepknot.membership.rings import ObserverRings
+from stepknot.membership.table import MemberTable, identity_of
 from stepknot.simulation.membership_model import Model
 
 pytestmark = pytest.mark.cpu_only
@@ -51,7 +51,7 @@
 
 
 def beat(sender: Record) -> bytes:
-    return datagram(sender, wire.Beat(-1, 0))
+    return datagram(sender, wire.Heartbeat(-1, 0))
 
 
 def packed(sender: list[Any]) -> bytes:
@@ -71,15 +71,15 @@
             chance.randbytes(100),
             b"\x91" * 1000,
             packed(["x", "h", 0, 1, 1, 0, 1]),
-            packed(["x", "h", 1, MOST_EPOCH, 1, 0, 1]),
-            packed(["x", "h", 1, 1, 1, MOST_INCARNATION, 1]),
+            packed(["x", "h", 1, MAX_EPOCH, 1, 0, 1]),
+            packed(["x", "h", 1, 1, 1, MAX_INCARNATION, 1]),
             packed(["x" * 65, "h", 1, 1, 1, 0, 1]),
             packed(["x", "h", 1, 1, 1, 0, 9]),
         ],
         "another version": [
             whole.replace(bytes([0x94, wire.VERSION]), bytes([0x94, wire.VERSION - 1]), 1)
         ],
-        "another fleet": [datagram(record(), wire.Beat(-1, 0), fleet="other")],
+        "another fleet": [datagram(record(), wire.Heartbeat(-1, 0), fleet="other")],
     }
     for reason, datagrams in bad.items():
         for data in datagrams:
@@ -91,7 +91,7 @@
 
 
 def test_a_datagram_cut_or_flipped_anywhere_hurts_nothing() -> None:
-    whole = datagram(record(), wire.News([record("y"), record("z", state=State.SUSPECT)]))
+    whole = datagram(record(), wire.Gossip([record("y"), record("z", state=State.SUSPECT)]))
     found = member()
     for at in range(len(whole)):
         found.receive(0.1, whole[:at])
@@ -102,7 +102,7 @@
 def test_whatever_is_well_formed_but_makes_no_sense_is_borne() -> None:
     """Any message from anybody in any state, the own name among them: nothing is raised, and the table fits itself."""
     for seed in range(30):
-        chance, found, now = random.Random(seed), member(most=12, tombstone=60.0), 0.0
+        chance, found, now = random.Random(seed), member(max_records=12, tombstone=60.0), 0.0
 
         def any_record(chance: random.Random = chance) -> Record:
             return record(
@@ -119,18 +119,20 @@
             name = any_record().name
             message = chance.choice(
                 [
-                    wire.Beat(
+                    wire.Heartbeat(
                         chance.randrange(-1, 5000),
                         chance.randrange(2**62),
                         chance.randrange(-1, 3),
                         chance.random() < 0.5,
                         chance.random() < 0.5,
                     ),
-                    wire.Ask([any_record().name for _ in range(chance.randrange(5))]),
-                    wire.Join(),
-                    wire.Tell(
+                    wire.IndirectProbeRequest(
+                        [any_record().name for _ in range(chance.randrange(5))]
+                    ),
+                    wire.JoinRequest(),
+                    wire.IndirectProbeAnswer(
                         [
-                            wire.Sign(
+                            wire.Observation(
                                 name,
                                 chance.randrange(12),
                                 chance.randrange(3),
@@ -138,10 +140,10 @@
                             )
                         ]
                     ),
-                    wire.News(
+                    wire.Gossip(
                         [any_record() for _ in range(chance.randrange(9))],
                         [
-                            wire.Short(
+                            wire.ShortUpdate(
                                 chance.choice([*found.table.identities, 7]),
                                 chance.randrange(3),
                                 State(chance.randrange(5)),
@@ -149,11 +151,11 @@
                             for _ in range(chance.randrange(4))
                         ],
                     ),
-                    wire.Need(
+                    wire.RecordRequest(
                         [chance.choice([*found.table.identities, 7])],
                         chance.randbytes(chance.randrange(60)),
                     ),
-                    wire.Sync(
+                    wire.AntiEntropyRequest(
                         chance.randrange(64),
                         chance.randrange(64),
                         chance.randbytes(chance.randrange(60)),
@@ -163,20 +165,22 @@
             found.receive(now, datagram(any_record(), message))
             found.tick(now)
             count = found.count(now)
-            assert 1 <= count.at_least <= count.at_most and len(found.table.records) <= 12
-            assert sum(found.table.counts) == len(found.table.records) == len(found.table.prints)
-            assert {name: each[0] for name, each in found.table.known.items()} == {
+            assert 1 <= count.lower_bound <= count.upper_bound and len(found.table.records) <= 12
+            assert (
+                sum(found.table.counts) == len(found.table.records) == len(found.table.fingerprints)
+            )
+            assert {name: each.identity for name, each in found.table.known.items()} == {
                 name: each for each, name in found.table.identities.items()
             }
             assert set(found.table.known) == set(found.table.records)
-            assert all(len(data) <= wire.MOST_BYTES for _, data in found.take()[0])
+            assert all(len(data) <= wire.MAX_DATAGRAM_BYTES for _, data in found.take()[0])
 
 
 def test_ten_thousand_invented_members_take_no_more_room_than_the_bound_and_old_ones_stay() -> None:
-    found = member(most=100)
+    found = member(max_records=100)
     found.receive(0.1, beat(record("real")))
     for number in range(10_000):
-        found.receive(0.1, datagram(record("real"), wire.News([record(f"invented{number}")])))
+        found.receive(0.1, datagram(record("real"), wire.Gossip([record(f"invented{number}")])))
     assert len(found.table.records) == 100 and found.table.refused > 9_000
     assert {"me", "real"} <= set(found.table.records)
     assert sum(len(data) for _, data in found.take()[0]) <= 1.5 * found.settings.burst
@@ -193,19 +197,19 @@
                     name,
                     "1" * 45,
                     65535,
-                    MOST_EPOCH - 1,
+                    MAX_EPOCH - 1,
                     2**32 - 1,
-                    MOST_INCARNATION - 1,
+                    MAX_INCARNATION - 1,
                     State.ALIVE,
                 ),
-                wire.Join(),
+                wire.JoinRequest(),
             ),
         )
     for step in range(1, 200):
         found.tick(step / 10)
     sent = found.take()[0]
-    assert sent and max(len(data) for _, data in sent) <= wire.MOST_BYTES
-    assert any(isinstance(wire.decode(data, "stepknot").message, wire.News) for _, data in sent)
+    assert sent and max(len(data) for _, data in sent) <= wire.MAX_DATAGRAM_BYTES
+    assert any(isinstance(wire.decode(data, "stepknot").message, wire.Gossip) for _, data in sent)
 
 
 def test_names_of_four_bytes_a_letter_get_through_too() -> None:
@@ -215,11 +219,11 @@
     for name in names:
         teller.receive(0.1, beat(record(name)))
     teller.take()
-    teller.send_records(
-        6.0, ("127.0.0.1", 77), [teller.table.records[name] for name in names], whole=True
+    teller.dissemination.send_full_records(
+        6.0, ("127.0.0.1", 77), [teller.table.records[name] for name in names]
     )
     sent = [data for _, data in teller.take()[0]]
-    assert max(map(len, sent)) <= wire.MOST_BYTES and not teller.counters["kept back"]
+    assert max(map(len, sent)) <= wire.MAX_DATAGRAM_BYTES and not teller.counters["kept back"]
     assert names == {
         each.name for data in sent for each in wire.decode(data, "stepknot").message.records
     }
@@ -231,28 +235,31 @@
         each.receive(0.1, beat(record()))
     teller.tick(0.2)
     teller.take()
-    teller.receive(9.0, datagram(record(incarnation=3), wire.Beat(-1, 0)))
-    news, count = teller.pack(9.0, [teller.table.records["x"]])
-    assert count == 1 and not news.records and [word.incarnation for word in news.short] == [3]
+    teller.receive(9.0, datagram(record(incarnation=3), wire.Heartbeat(-1, 0)))
+    news, count = teller.dissemination.pack(9.0, [teller.table.records["x"]])
+    assert (
+        count == 1 and not news.records and [word.incarnation for word in news.short_updates] == [3]
+    )
     knows.receive(9.1, datagram(record("t"), news))
     assert knows.table.records["x"].incarnation == 3
     lacks.receive(9.1, datagram(record("t"), news))
     need = [wire.decode(data, "stepknot").message for _, data in lacks.take()[0]]
-    asked = [each for each in need if isinstance(each, wire.Need)]
+    asked = [each for each in need if isinstance(each, wire.RecordRequest)]
     assert asked and "x" not in lacks.table.records
     teller.receive(9.2, datagram(record("lacks"), asked[0]))
     for _, data in teller.take()[0]:  # all three have one name here: another brings it
         lacks.receive(9.3, datagram(record("t"), wire.decode(data, "stepknot").message))
     assert lacks.table.records["x"].incarnation == 3
-    fresh, _ = teller.pack(9.2, [teller.table.records["lacks"]])
-    assert fresh.records and not fresh.short
+    fresh, _ = teller.dissemination.pack(9.2, [teller.table.records["lacks"]])
+    assert fresh.records and not fresh.short_updates
 
 
 def test_short_news_of_an_earlier_process_do_not_touch_the_one_that_took_its_name() -> None:
     found, old = member(), record(epoch=5)
     found.receive(0.1, beat(record(epoch=6)))
     found.receive(
-        0.2, datagram(record("t"), wire.News([], [wire.Short(identity_of(old), 9, State.DEAD)]))
+        0.2,
+        datagram(record("t"), wire.Gossip([], [wire.ShortUpdate(identity_of(old), 9, State.DEAD)])),
     )
     assert found.table.records["x"].epoch == 6 and found.table.records["x"].state is State.ALIVE
 
@@ -264,21 +271,21 @@
     for name in ("a", "b"):
         found.receive(0.1, beat(record(name)))
     found.take()
-    found.news.left.clear()
-    other = Table(100, 600.0)
+    found.view.gossip.rounds_left.clear()
+    other = MemberTable(100, 600.0)
     for each in (record("a"), record("c")):
         other.put(0.0, each, "")
-    found.receive(0.2, datagram(record("t"), wire.Sync(0, 63, other.section(0)[1])))
+    found.receive(0.2, datagram(record("t"), wire.AntiEntropyRequest(0, 63, other.section(0)[1])))
     messages = [wire.decode(data, "stepknot").message for _, data in found.take()[0]]
     told = {
         each.name
         for message in messages
-        if isinstance(message, wire.News)
+        if isinstance(message, wire.Gossip)
         for each in message.records
     }
-    (need,) = [message for message in messages if isinstance(message, wire.Need)]
+    (need,) = [message for message in messages if isinstance(message, wire.RecordRequest)]
     assert "b" in told and "a" not in told
-    assert {each.name for each in other.printed(need.prints)} == {"c"}
+    assert {each.name for each in other.with_fingerprints(need.fingerprints)} == {"c"}
 
 
 def test_an_incarnation_near_its_end_is_followed_by_a_new_epoch() -> None:
@@ -287,10 +294,10 @@
         0.1,
         datagram(
             record(),
-            wire.News(
+            wire.Gossip(
                 [
                     msgspec.structs.replace(
-                        found.own, incarnation=MOST_INCARNATION - 1, state=State.SUSPECT
+                        found.own, incarnation=MAX_INCARNATION - 1, state=State.SUSPECT
                     )
                 ]
             ),
@@ -302,9 +309,9 @@
 def test_a_name_whose_epochs_are_spent_is_given_up_loudly() -> None:
     found = member()
     found.receive(
-        0.1, datagram(record(), wire.News([record("me", epoch=MOST_EPOCH - 1, state=State.DEAD)]))
+        0.1, datagram(record(), wire.Gossip([record("me", epoch=MAX_EPOCH - 1, state=State.DEAD)]))
     )
-    assert found.stepped_aside and "no epoch" in found.isolated_why
+    assert found.member.stepped_aside and "no epoch" in found.isolation.reason
 
 
 def test_its_own_address_among_the_seeds_is_not_asked() -> None:
@@ -312,7 +319,7 @@
         MembershipSettings(seeds=(("127.0.0.1", 1),)), record("me", port=1), seed=1
     )
     found.tick(0.0)
-    assert found.joined and not found.take()[0]
+    assert found.member.has_joined and not found.take()[0]
 
 
 def test_seeds_that_do_not_answer_are_asked_again_and_it_counts_as_configured_meanwhile() -> None:
@@ -323,23 +330,23 @@
     for step in range(600):
         found.tick(step / 10)
         asked += len(found.take()[0])
-    assert 20 <= asked <= 100 and not found.joined and found.isolated
+    assert 20 <= asked <= 100 and not found.member.has_joined and found.isolation.is_isolated
     count = found.count(59.9)
-    assert (count.at_least, count.at_most, count.sure) == (1, 7, False)
+    assert (count.lower_bound, count.upper_bound, count.is_certain) == (1, 7, False)
 
 
 def test_of_two_living_processes_under_one_name_the_older_steps_aside_and_the_newer_stays() -> None:
     older, newer = member(), member()
     newer.receive(0.1, beat(record("me", epoch=9, port=2)))
-    assert not newer.stepped_aside
+    assert not newer.member.stepped_aside
     older.receive(0.1, beat(record("me", epoch=11, port=2)))
-    assert older.stepped_aside and "another process" in older.isolated_why
+    assert older.member.stepped_aside and "another process" in older.isolation.reason
 
 
 def test_word_of_ones_own_death_is_answered_by_a_greater_incarnation() -> None:
     found = member()
     found.receive(0.1, beat(record()))
-    found.receive(0.2, datagram(record(), wire.Beat(-1, 0, held=0)))
+    found.receive(0.2, datagram(record(), wire.Heartbeat(-1, 0, suspected_incarnation=0)))
     assert found.own.incarnation == 1 and found.own.state is State.ALIVE
 
 
@@ -348,10 +355,12 @@
     found.receive(0.1, beat(record()))
     for step in range(1, 12):
         found.tick(step / 10)
-    before = found.watched["x"].silent(1.1)
+    before = found.view.subjects["x"].silence(1.1)
     found.tick(9.0)
-    assert found.watched["x"].silent(9.0) == pytest.approx(before) and not found.awake(9.0)
-    assert found.counters["stood still"] == 1 and not found.count(9.0).sure
+    assert found.view.subjects["x"].silence(9.0) == pytest.approx(
+        before
+    ) and not found.health.is_awake(9.0)
+    assert found.counters["stood still"] == 1 and not found.count(9.0).is_certain
 
 
 @pytest.mark.parametrize("heard", [True, False])
@@ -362,10 +371,10 @@
     def go_on(since: float, until: float, tellers: int) -> State:
         for step in range(int(since * 10), int(until * 10)):
             for number, other in enumerate(others):
-                found.receive(step / 10, datagram(other, wire.Beat(0 if heard else -1, 0)))
+                found.receive(step / 10, datagram(other, wire.Heartbeat(0 if heard else -1, 0)))
                 if number < tellers:
-                    sign = wire.Sign("x", *record().process, -1)
-                    found.receive(step / 10, datagram(other, wire.Tell([sign])))
+                    sign = wire.Observation("x", *record().process, -1)
+                    found.receive(step / 10, datagram(other, wire.IndirectProbeAnswer([sign])))
             found.tick(step / 10)
         return found.table.records["x"].state
 
@@ -375,13 +384,13 @@
         go_on(12.0, 13.9, tellers=3) is State.SUSPECT
     )  # it has time to prove itself, silent for long as it was
     assert go_on(13.9, 26.0, tellers=3) is (State.DEAD if heard else State.SUSPECT)
-    assert found.isolated is not heard
+    assert found.isolation.is_isolated is not heard
 
 
 def test_a_flood_of_questions_is_answered_within_the_rate() -> None:
     found = member()
     for number in range(5_000):
-        found.receive(0.1 + number / 5000, datagram(record(f"x{number % 50}"), wire.Join()))
+        found.receive(0.1 + number / 5000, datagram(record(f"x{number % 50}"), wire.JoinRequest()))
     sent = sum(len(data) for _, data in found.take()[0])
     assert 0 < sent <= 1.25 * found.settings.burst + found.settings.rate
     assert found.counters["kept back"] > 4_000
@@ -390,7 +399,7 @@
 def test_the_dead_are_called_now_and_then() -> None:
     found = member()
     found.receive(0.1, beat(record()))
-    found.receive(0.2, datagram(record("y"), wire.News([record(state=State.DEAD)])))
+    found.receive(0.2, datagram(record("y"), wire.Gossip([record(state=State.DEAD)])))
     called = 0
     for step in range(3, 123):
         found.receive(step / 10, beat(record("y")))
@@ -399,15 +408,15 @@
             1
             for address, data in found.take()[0]
             if address == record().address
-            and isinstance(message := wire.decode(data, "stepknot").message, wire.Beat)
-            and message.held == 0
-            and message.reply
+            and isinstance(message := wire.decode(data, "stepknot").message, wire.Heartbeat)
+            and message.suspected_incarnation == 0
+            and message.reply_requested
         )
     assert 3 <= called <= 8
 
 
 def test_what_was_learnt_is_not_unlearnt() -> None:
-    table = Table(100, 600.0)
+    table = MemberTable(100, 600.0)
     ranks = [
         record(incarnation=incarnation, state=state)
         for incarnation in (0, 1)
@@ -415,7 +424,7 @@
     ]
     orders = [random.Random(seed).sample(ranks, len(ranks)) for seed in range(20)]
     for order in orders:
-        table = Table(100, 600.0)
+        table = MemberTable(100, 600.0)
         table.put(0.0, ranks[0], "")
         for each in order:
             table.put(0.0, each, "")
@@ -423,7 +432,7 @@
 
 
 def test_a_table_tells_just_what_another_lacks() -> None:
-    one, other = Table(2000, 600.0), Table(2000, 600.0)
+    one, other = MemberTable(2000, 600.0), MemberTable(2000, 600.0)
     for number in range(700):
         each = record(f"m{number}")
         one.put(0.0, each, "")
@@ -432,21 +441,21 @@
     start, lacking, rounds = 0, set(), 0
     while rounds == 0 or start:
         last, prints = other.section(start)
-        assert len(prints) <= 4 * wire.PRINTS
-        lacking |= {each.name for each in one.missing(start, last, prints)[0]}
+        assert len(prints) <= 4 * wire.MAX_FINGERPRINTS
+        lacking |= {each.name for each in one.compare(start, last, prints).missing_there}
         start, rounds = (last + 1) % wire.BUCKETS, rounds + 1
     assert lacking == {f"m{number}" for number in range(0, 700, 50)} and rounds <= 4
 
 
 @pytest.mark.parametrize("size", [10, 50, 200])
 def test_watching_is_mutual_and_everybody_has_watchers(size: int) -> None:
-    rings = Rings(4)
+    rings = ObserverRings(4)
     for number in range(size):
         rings.add(f"m{number}")
     chance = random.Random(size)
     lost = {f"m{number}" for number in range(size) if chance.random() < 0.5}
     near = {
-        f"m{number}": rings.around(f"m{number}", lambda name: name in lost)
+        f"m{number}": rings.neighbours_of(f"m{number}", lambda name: name in lost)
         for number in range(size)
     }
     for name, (nearest, _) in near.items():
@@ -519,11 +528,11 @@
         truth = len(self.model.up())
         for each in self.model.up():
             count = each.member.count(now)
-            assert 1 <= count.at_least <= count.at_most
+            assert 1 <= count.lower_bound <= count.upper_bound
             if now > 2.0 and now >= each.paused_until:
-                assert count.at_most >= truth, (each.name, count, truth)
+                assert count.upper_bound >= truth, (each.name, count, truth)
             table = each.member.table  # type: ignore[attr-defined]
-            assert sum(table.counts) == len(table.records) <= table.most
+            assert sum(table.counts) == len(table.records) <= table.max_records
             assert table.present == {
                 name: one for name, one in table.records.items() if one.state in PRESENT_STATES
             }
@@ -536,7 +545,7 @@
         ]
         for when, at, change in self.model.log:
             if (
-                change.after is State.DEAD
+                change.new_state is State.DEAD
                 and change.name in clean
                 and when > now - 10.0
                 and at in clean
@@ -585,8 +594,8 @@
     for number in range(60):
         found.receive(0.1, beat(record(f"m{number}", port=1000 + number)))
     found.tick(0.2)
-    silent = next(iter(found.watched))
-    watchers = set(found.rings.around(silent, lambda name: False)[0])
+    silent = next(iter(found.view.subjects))
+    watchers = set(found.view.rings.neighbours_of(silent, lambda name: False)[0])
     for step in range(3, 40):
         for number in range(60):
             if f"m{number}" != silent:
@@ -595,11 +604,11 @@
         asked = {
             f"m{address[1] - 1000}"
             for address, data in found.take()[0]
-            if isinstance(wire.decode(data, "stepknot").message, wire.Ask)
+            if isinstance(wire.decode(data, "stepknot").message, wire.IndirectProbeRequest)
         }
         if asked:
             break
-    assert len(asked & watchers) >= found.settings.helpers // 2
+    assert len(asked & watchers) >= found.settings.probe_helpers // 2
 
 
 def sent_kinds(found: MembershipProtocol) -> set[type]:
@@ -612,7 +621,7 @@
     for name in names:
         found.receive(0.1, beat(record(name)))
     found.tick(0.2)
-    silent = next(iter(found.watched))
+    silent = next(iter(found.view.subjects))
 
     def go_on(since: float, until: float, left: float) -> set[type]:
         kinds: set[type] = set()
@@ -620,14 +629,14 @@
             for name in names:
                 if name != silent:
                     found.receive(step / 10, beat(record(name)))
-            found.rate.saved = left
+            found.outbox.budget.saved = left
             found.tick(step / 10)
             kinds |= sent_kinds(found)
         return kinds
 
-    little = go_on(0.3, 6.0, left=2.2 * wire.MOST_BYTES)
-    assert wire.Sync in little and wire.Ask not in little
-    assert wire.Ask in go_on(6.0, 8.0, left=found.settings.burst)
+    little = go_on(0.3, 6.0, left=2.2 * wire.MAX_DATAGRAM_BYTES)
+    assert wire.AntiEntropyRequest in little and wire.IndirectProbeRequest not in little
+    assert wire.IndirectProbeRequest in go_on(6.0, 8.0, left=found.settings.burst)
 
 
 def asked_about_a_silent_one(when_asked: float, when_told: float) -> tuple[set[type], set[type]]:
@@ -638,23 +647,26 @@
     for step in range(2, 30):
         found.tick(step / 10)
     found.take()
-    found.rate.saved, found.rate.at = when_asked, 3.0
-    found.receive(3.0, datagram(record("y"), wire.Ask(["z"])))
+    found.outbox.budget.saved, found.outbox.budget.updated_at = when_asked, 3.0
+    found.receive(3.0, datagram(record("y"), wire.IndirectProbeRequest(["z"])))
     asked = sent_kinds(found)
-    found.rate.saved, found.rate.at = when_told, 3.0 + found.settings.period
-    found.tell_of_silence(3.0 + found.settings.period)
+    found.outbox.budget.saved, found.outbox.budget.updated_at = (
+        when_told,
+        3.0 + found.settings.period,
+    )
+    found.indirect_probes.report_unanswered(3.0 + found.settings.period)
     return asked, sent_kinds(found)
 
 
 def test_word_that_nothing_was_heard_borrows_nothing() -> None:
     burst = MembershipSettings().burst
-    assert asked_about_a_silent_one(burst, burst) == ({wire.Beat}, {wire.Tell})
-    assert asked_about_a_silent_one(burst, 0.0) == ({wire.Beat}, set())
+    assert asked_about_a_silent_one(burst, burst) == ({wire.Heartbeat}, {wire.IndirectProbeAnswer})
+    assert asked_about_a_silent_one(burst, 0.0) == ({wire.Heartbeat}, set())
 
 
 def test_whoever_is_asked_pings_the_silent_one_also_with_nothing_saved() -> None:
     """The one member that hears it is asked by all: a ping that is kept back makes a way round look like a death."""
-    assert asked_about_a_silent_one(0.0, 0.0)[0] == {wire.Beat}
+    assert asked_about_a_silent_one(0.0, 0.0)[0] == {wire.Heartbeat}
 
 
 def test_others_are_asked_in_turn_so_that_none_is_left_out_for_long() -> None:
@@ -663,23 +675,25 @@
     for number, name in enumerate(names):
         found.receive(0.1, beat(record(name, port=1000 + number)))
     found.tick(0.2)
-    silent = next(iter(found.watched))
+    silent = next(iter(found.view.subjects))
     asked: set[str] = set()
     for step in range(3, 120):
         for number, name in enumerate(names):
             if name != silent:
                 found.receive(
                     step / 10,
-                    datagram(record(name, port=1000 + number), wire.Beat(0, found.table.digest)),
+                    datagram(
+                        record(name, port=1000 + number), wire.Heartbeat(0, found.table.digest)
+                    ),
                 )
         found.tick(step / 10)
         for address, data in found.take()[0]:
-            if isinstance(wire.decode(data, "stepknot").message, wire.Ask):
-                sign = wire.Sign(silent, *record(silent).process, -1)
+            if isinstance(wire.decode(data, "stepknot").message, wire.IndirectProbeRequest):
+                sign = wire.Observation(silent, *record(silent).process, -1)
                 sender = record(names[address[1] - 1000], port=address[1])
-                found.receive(step / 10, datagram(sender, wire.Tell([sign])))
+                found.receive(step / 10, datagram(sender, wire.IndirectProbeAnswer([sign])))
                 asked.add(sender.name)
-        found.rate.saved = found.settings.burst
+        found.outbox.budget.saved = found.settings.burst
         if found.table.records[silent].state is State.DEAD:
             break
     assert len(asked) >= 28  # of 39, in the rounds until it is dead
@@ -691,22 +705,22 @@
     lost, left = [f"x{number}" for number in range(6)], [f"y{number}" for number in range(14)]
     for name in lost + left:
         found.receive(0.1, beat(record(name)))
-    suspects = wire.News([record(name, state=State.SUSPECT) for name in lost])
+    suspects = wire.Gossip([record(name, state=State.SUSPECT) for name in lost])
     for step in range(2, 260):
         now = step / 10
         if step == 40:
             found.receive(now, datagram(record(left[0]), suspects))
         for number, name in enumerate(left):
-            found.receive(now, datagram(record(name), wire.Beat(0, found.table.digest)))
+            found.receive(now, datagram(record(name), wire.Heartbeat(0, found.table.digest)))
             if number < tellers:
-                signs = [wire.Sign(each, *record(each).process, -1) for each in lost]
-                found.receive(now, datagram(record(name), wire.Tell(signs)))
+                signs = [wire.Observation(each, *record(each).process, -1) for each in lost]
+                found.receive(now, datagram(record(name), wire.IndirectProbeAnswer(signs)))
         found.tick(now)
     watched = [
         name
         for name in lost
-        if name in found.watched or found.table.records[name].state is State.DEAD
+        if name in found.view.subjects or found.table.records[name].state is State.DEAD
     ]
     states = {found.table.records[name].state for name in watched}
     assert states == {State.DEAD if tellers >= 12 else State.SUSPECT}
-    assert not found.isolated
+    assert not found.isolation.is_isolated
--- a/tests/membership/test_model.py
+++ b/tests/membership/test_model.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from stepknot.membership.model import Counts, MembershipSettings, State
+from stepknot.membership.model import MemberCount, MembershipSettings, State
 from stepknot.simulation.membership_model import Model
 
 pytestmark = pytest.mark.cpu_only
@@ -40,18 +40,20 @@
     """When each member first held this of that one."""
     found: dict[str, float] = {}
     for when, at, change in model.log:
-        if change.name == name and change.after is state and when >= since:
+        if change.name == name and change.new_state is state and when >= since:
             found.setdefault(at, when)
     return found
 
 
-def counts(model: Model, name: str) -> Counts:
+def counts(model: Model, name: str) -> MemberCount:
     return model.processes[name].member.count(model.now)
 
 
 def deaths(model: Model, since: float) -> set[str]:
     return {
-        change.name for when, _, change in model.log if change.after is State.DEAD and when >= since
+        change.name
+        for when, _, change in model.log
+        if change.new_state is State.DEAD and when >= since
     }
 
 
@@ -78,7 +80,7 @@
     assert len(found) == size - 1
     assert SETTINGS.pause <= min(found.values()) - at and max(found.values()) - at <= KNOWN
     assert deaths(model, at) == {"b1"}
-    assert counts(model, "b2") == Counts(
+    assert counts(model, "b2") == MemberCount(
         size - 1, size, True
     )  # it may live on, cut off: it counts still
 
@@ -89,9 +91,9 @@
     model.run(35.0)  # from here on the configured number does not count any more
     model.kill("b1")
     model.run(model.now + 10.0)
-    assert counts(model, "b2") == Counts(SIZE - 1, SIZE, True)
+    assert counts(model, "b2") == MemberCount(SIZE - 1, SIZE, True)
     model.run(model.now + 35.0)
-    assert counts(model, "b2") == Counts(SIZE - 1, SIZE - 1, True)
+    assert counts(model, "b2") == MemberCount(SIZE - 1, SIZE - 1, True)
 
 
 def test_a_leave_is_told_and_is_no_death() -> None:
@@ -101,7 +103,7 @@
     model.run(at + 3.0)
     assert len(told(model, "b3", State.LEFT, at)) == SIZE  # its own view too
     model.run(at + 20.0)
-    assert not deaths(model, at) and counts(model, "b0") == Counts(SIZE - 1, SIZE - 1, True)
+    assert not deaths(model, at) and counts(model, "b0") == MemberCount(SIZE - 1, SIZE - 1, True)
 
 
 @pytest.mark.parametrize("address", [None, ("127.0.0.1", 500)])
@@ -154,7 +156,7 @@
     assert {
         change.name
         for when, name, change in model.log
-        if name == "b5" and when >= at + 8.0 and change.after in (State.DEAD, State.SUSPECT)
+        if name == "b5" and when >= at + 8.0 and change.new_state in (State.DEAD, State.SUSPECT)
     } == set()
 
 
@@ -198,7 +200,7 @@
 def test_whom_one_watcher_does_not_hear_is_vouched_for_by_others_and_not_even_suspect() -> None:
     model = ready()
     at = model.now
-    watcher = next(iter(model.processes["b1"].member.neighbours))  # type: ignore[attr-defined]
+    watcher = next(iter(model.processes["b1"].member.view.neighbours))  # type: ignore[attr-defined]
     model.network.cut = lambda source, target: (source, target) == ("b1", watcher)
     model.run(at + 60.0)
     assert not told(model, "b1", State.SUSPECT, at)
@@ -209,7 +211,7 @@
     other = {f"b{number}" for number in range(2, SIZE, 2)}  # of the three seeds one is among them
     part(model, other)
     model.run(20.0)
-    assert counts(model, "b2").at_least < SIZE and counts(model, "b1").at_least < SIZE
+    assert counts(model, "b2").lower_bound < SIZE and counts(model, "b1").lower_bound < SIZE
     heal(model)
     assert settle(model, 15.0) is not None
 
@@ -219,9 +221,9 @@
     at = model.now
     model.network.cut = lambda source, target: source == "b1"
     model.run(at + 5.0)
-    assert not counts(model, "b1").sure
+    assert not counts(model, "b1").is_certain
     model.run(at + 30.0)
-    assert deaths(model, at) == {"b1"} and model.processes["b1"].member.isolated  # type: ignore[attr-defined]
+    assert deaths(model, at) == {"b1"} and model.processes["b1"].member.isolation.is_isolated  # type: ignore[attr-defined]
     heal(model)
     assert settle(model, 15.0) is not None
 
@@ -231,7 +233,7 @@
     at = model.now
     model.network.cut = lambda source, target: target == "b1"
     model.run(at + 60.0)
-    assert not deaths(model, at) and model.processes["b1"].member.isolated  # type: ignore[attr-defined]
+    assert not deaths(model, at) and model.processes["b1"].member.isolation.is_isolated  # type: ignore[attr-defined]
     heal(model)
     assert settle(model, 15.0) is not None
 
@@ -248,10 +250,10 @@
     for _ in model.steps(at + 60.0):
         for each in model.up():  # a count to divide by is never under what may truly be there
             count = each.member.count(model.now)
-            assert count.at_most >= SIZE and count.at_least <= SIZE
+            assert count.upper_bound >= SIZE and count.lower_bound <= SIZE
     gone = deaths(model, at)
     assert gone == (small if smaller < 10 else set())
-    assert all(model.processes[name].member.isolated for name in small)  # type: ignore[attr-defined]
+    assert all(model.processes[name].member.isolation.is_isolated for name in small)  # type: ignore[attr-defined]
     heal(model)
     assert settle(model, 15.0) is not None
 
@@ -282,7 +284,11 @@
     )  # a fleet that died looks like a cut from inside: none dares say so
     for each in model.up():
         count = each.member.count(model.now)
-        assert count.at_least <= SIZE - len(killed) and count.at_most >= SIZE and not count.sure
+        assert (
+            count.lower_bound <= SIZE - len(killed)
+            and count.upper_bound >= SIZE
+            and not count.is_certain
+        )
     for name in killed:
         model.start(name)
     assert settle(model, 20.0) is not None
@@ -295,7 +301,7 @@
     model.run(model.now + 8.0)
     new = model.start("b4", address=("127.0.0.1", 999))
     model.run(model.now + 10.0)
-    assert old.member.stepped_aside and not new.member.stepped_aside  # type: ignore[attr-defined]
+    assert old.member.member.stepped_aside and not new.member.member.stepped_aside  # type: ignore[attr-defined]
     assert settle(model, 10.0) is not None
 
 
@@ -306,8 +312,8 @@
     at = model.now
     counted_again = None
     for _ in model.steps(at + 90.0, step=0.5):
-        greatest = counts(model, "b1").at_most
-        if counted_again is None and counts(model, "b2").at_most < SIZE:
+        greatest = counts(model, "b1").upper_bound
+        if counted_again is None and counts(model, "b2").upper_bound < SIZE:
             counted_again = model.now
         assert counted_again is None or greatest >= 1_000_000
     assert counted_again is not None
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -28,7 +28,6 @@
     "stepknot/frontends/graphql/sdl.py": 448,
     "stepknot/frontends/search/app.py": 766,
     "stepknot/logic.py": 795,
-    "stepknot/membership/protocol.py": 676,
     "stepknot/net/loop.py": 721,
     "stepknot/net/server.py": 489,
     "stepknot/search/aggs.py": 519,
