--- a/bench/planted_defects/command_line.py
+++ b/bench/planted_defects/command_line.py
@@ -44,8 +44,8 @@
     ),
     PlantedDefect(
         path="stepknot/cli/admin_commands.py",
-        original='{"stop": self.pause, "go_on": self.resume, "undo": self.undo}',
-        replacement='{"stop": self.resume, "go_on": self.pause, "undo": self.undo}',
+        original="OperatorOrder(self.pause, self.resume, self.undo, drain)",
+        replacement="OperatorOrder(self.resume, self.pause, self.undo, drain)",
         tests=(f"{ADMIN}::test_drain_posts_the_order",),
     ),
 ]
--- a/stepknot/cli/admin_commands.py
+++ b/stepknot/cli/admin_commands.py
@@ -10,6 +10,7 @@
 from urllib.parse import quote, urlencode
 
 import click
+import msgspec
 import orjson
 
 from stepknot.cli import tables
@@ -186,6 +187,25 @@
     raise SystemExit(0 if healthy or transfer is not None else EXIT_UNHEALTHY)
 
 
+class DrainRequest(msgspec.Struct, frozen=True):
+    """A rolling drain as the lease holder takes it: `every` in seconds, `failing` a share of queries."""
+
+    zone: str
+    at_most: int
+    every: float
+    force: bool
+    failing: float
+
+
+class OperatorOrder(msgspec.Struct, frozen=True):
+    """An order for the lease holder of the job `drains`: one of these."""
+
+    stop: bool
+    go_on: bool
+    undo: bool
+    drain: DrainRequest | msgspec.UnsetType
+
+
 @dataclass(frozen=True, slots=True)
 class DrainOptions:
     """Arguments and options of `drain`."""
@@ -211,16 +231,18 @@
             raise click.UsageError("one of --zone, --pause, --resume, --undo")
         if not any(given):
             return None
-        order: dict[str, Any] = {"stop": self.pause, "go_on": self.resume, "undo": self.undo}
-        if self.zone is not None:
-            order["drain"] = {
-                "zone": self.zone,
-                "at_most": self.max_draining,
-                "every": self.drain_time,
-                "force": self.force,
-                "failing": 1.0 if self.pause_if is None else self.pause_if,
-            }
-        return orjson.dumps(order)
+        drain = (
+            DrainRequest(
+                zone=self.zone,
+                at_most=self.max_draining,
+                every=self.drain_time,
+                force=self.force,
+                failing=1.0 if self.pause_if is None else self.pause_if,
+            )
+            if self.zone is not None
+            else msgspec.UNSET
+        )
+        return msgspec.json.encode(OperatorOrder(self.pause, self.resume, self.undo, drain))
 
 
 @click.command(
