--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -55,42 +55,61 @@
 }
 
 
-def literals(node: ast.expr) -> Iterator[str]:
-    """Texts that an expression may be: a constant, or the branches of a conditional one."""
+Texts = dict[str, set[str]]  # by variable of a module, the texts that are assigned to it
+
+
+def literals(node: ast.expr, variables: Texts) -> set[str]:
+    """Texts that an expression may be: a constant, branches of a conditional one, or a variable's."""
     if isinstance(node, ast.Constant) and isinstance(node.value, str):
-        yield node.value
-    elif isinstance(node, ast.IfExp):
-        yield from literals(node.body)
-        yield from literals(node.orelse)
+        return {node.value}
+    if isinstance(node, ast.IfExp):
+        return literals(node.body, variables) | literals(node.orelse, variables)
+    if isinstance(node, ast.Name):
+        return variables.get(node.id, set())
+    return set()
+
+
+def assigned_in(tree: ast.Module) -> Texts:
+    """The texts that a module assigns to its variables."""
+    found: Texts = {}
+    for node in ast.walk(tree):
+        if isinstance(node, ast.Assign):
+            for target in node.targets:
+                if isinstance(target, ast.Name):
+                    found.setdefault(target.id, set()).update(literals(node.value, {}))
+    return found
 
 
-def logged_by(call: ast.Call) -> Iterator[str]:
-    """Names of the events that a call logs; none where it is another call."""
+def event_argument(call: ast.Call) -> ast.expr | None:
+    """The argument that names the event; none where a call logs nothing."""
     if not call.args:
-        return
+        return None
     first, function = call.args[0], call.func
-    if isinstance(function, ast.Name) and function.id in LOG_FUNCTIONS:
-        yield from literals(first)
-    elif isinstance(function, ast.Attribute):
-        if function.attr.lstrip("_") in LOG_FUNCTIONS:
-            yield from literals(first)
-        elif (
-            function.attr == "append"
-            and isinstance(function.value, ast.Attribute)
-            and function.value.attr in EVENT_LISTS
-            and isinstance(first, ast.Tuple)
-        ):
-            yield from literals(first.elts[0])
-
-
-def calls_in(source: str) -> list[ast.Call]:
-    """All calls of a module."""
-    return [node for node in ast.walk(ast.parse(source)) if isinstance(node, ast.Call)]
+    if isinstance(function, ast.Name):
+        return first if function.id in LOG_FUNCTIONS else None
+    if not isinstance(function, ast.Attribute):
+        return None
+    if function.attr.lstrip("_") in LOG_FUNCTIONS:
+        return first
+    is_list = isinstance(function.value, ast.Attribute) and function.value.attr in EVENT_LISTS
+    if is_list and function.attr == "append" and isinstance(first, ast.Tuple):
+        return first.elts[0]
+    return None
+
+
+def logged_calls(source: str) -> Iterator[tuple[str, ast.Call]]:
+    """Each event that a module logs, with the call."""
+    tree = ast.parse(source)
+    variables = assigned_in(tree)
+    for node in ast.walk(tree):
+        if isinstance(node, ast.Call) and (argument := event_argument(node)) is not None:
+            for name in literals(argument, variables):
+                yield name, node
 
 
 def logged_in(source: str) -> set[str]:
     """Names of all events that a module logs."""
-    return {name for call in calls_in(source) for name in logged_by(call)}
+    return {name for name, _ in logged_calls(source)}
 
 
 def fields_of(call: ast.Call) -> set[str]:
@@ -102,9 +121,8 @@
     """By event the fields that its calls give by keyword."""
     found: dict[str, set[str]] = {}
     for path in sorted((ROOT / "stepknot").rglob("*.py")):
-        for call in calls_in(path.read_text()):
-            for name in logged_by(call):
-                found.setdefault(name, set()).update(fields_of(call))
+        for name, call in logged_calls(path.read_text()):
+            found.setdefault(name, set()).update(fields_of(call))
     return found
 
 
@@ -129,6 +147,7 @@
         ('self.log("lease_lost", why=why)', {"lease_lost"}),
         ('log("a_done" if good else "a_failed")', {"a_done", "a_failed"}),
         ('self.core.on_event("query_ended")', {"query_ended"}),
+        ('event = "a_done" if good else "a_failed"\nself.log(event)', {"a_done", "a_failed"}),
         ('self.events.append(("job_owned", {"job": name}))', {"job_owned"}),
         ("math.log(2.0)", set()),
         ('print("lease_lost")', set()),
