--- a/tests/leases/test_processes.py
+++ b/tests/leases/test_processes.py
@@ -24,6 +24,8 @@
 from stepknot.simulation.fleet import Fleet
 from tests.processes import Brokers
 
+pytestmark = pytest.mark.event_driven
+
 LEASE = 0.8
 VOTERS = ["b0", "b1", "b2"]
 ACTIVE = {"running", "halted", "stopped"}  # of a drain that has not ended
@@ -235,6 +237,7 @@
     check_steps(brokers.history(), zone_a(brokers))
 
 
+@pytest.mark.measures_time
 def test_an_owner_that_stops_at_sigterm_hands_over_at_once(brokers: Owners) -> None:
     first = brokers.wait_owner()
     brokers.end(first, by=signal.SIGTERM)
--- a/tests/leases/test_recorded_bytes.py
+++ b/tests/leases/test_recorded_bytes.py
@@ -10,8 +10,6 @@
 from stepknot.leases import drains
 from stepknot.leases import model as m
 
-pytestmark = pytest.mark.cpu_only
-
 LIVES = {"A": 3, "B": 1}
 HELD = m.Held(6, 2, b"\x00xyz")
 RECORD = m.JobRecord("drains", 7, "b1", 2**61, HELD)
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -21,6 +21,8 @@
 from stepknot.simulation.script import Script, Step
 from tests.processes import Brokers
 
+pytestmark = pytest.mark.event_driven
+
 PERIOD, PAUSE = 0.25, 2.0
 DEATH = PAUSE + PERIOD
 NAMES = [f"b{number}" for number in range(7)]
--- a/tests/subsets/test_processes.py
+++ b/tests/subsets/test_processes.py
@@ -27,6 +27,8 @@
 from stepknot.simulation.socket_recorder import read
 from tests.processes import Brokers
 
+pytestmark = pytest.mark.event_driven
+
 CELLS, REPLICAS, SIZE = 2, 5, 2
 COLD_TIME = 4.0  # seconds
 GRACE = 1.0  # seconds: of the fleet's settings
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,5 +1,7 @@
 """One short test for each failure found."""
 
+import pytest
+
 from stepknot.interface import (
     Answer,
     AttemptEnded,
@@ -18,6 +20,8 @@
 from stepknot.records import Call
 from tests.helpers import FLEET, START, Driver, entry, limits, make_settings, rules
 
+pytestmark = pytest.mark.cpu_only
+
 
 def busy(driver: Driver, rounds: int, elapsed: float) -> None:
     """Queries one after another that take `elapsed` each."""
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -7,6 +7,8 @@
 
 import pytest
 
+pytestmark = pytest.mark.cpu_only
+
 ROOT = Path(__file__).parent.parent
 POLICY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
 MODULES = sorted(path.relative_to(ROOT).as_posix() for path in (ROOT / "stepknot").rglob("*.py"))
