--- a/bench/planted_defects/broker.py
+++ b/bench/planted_defects/broker.py
@@ -59,7 +59,7 @@
     ),
     PlantedDefect(
         path="stepknot/broker/core.py",
-        original="if attempt is not None and self.boxes.unsent(attempt):",
+        original="if attempt is not None and self.boxes.is_unsent(attempt):",
         replacement="if False:",
         tests=(
             "tests/platform/test_hard_cases.py::test_unwritten_call_is_removed_with_its_client_where_cancelling_is_not_allowed",
--- a/bench/planted_defects/nodes.py
+++ b/bench/planted_defects/nodes.py
@@ -13,7 +13,7 @@
     ),
     PlantedDefect(
         path="stepknot/nodes/connection_pool.py",
-        original="Outcome.RESET if handed_over else Outcome.NOT_CONNECTED",
+        original="Outcome.RESET if is_sent else Outcome.NOT_CONNECTED",
         replacement="Outcome.NOT_CONNECTED",
         tests=(
             "tests/broker/test_hard_cases.py::test_a_kept_connection_closed_as_an_unsafe_part_is_written",
@@ -21,31 +21,31 @@
     ),
     PlantedDefect(
         path="stepknot/nodes/rest_transport.py",
-        original="call.exchange.cancel()  # nobody",
-        replacement="pass  # nobody",
+        original="call.exchange.cancel()  # the node",
+        replacement="pass  # the node",
         tests=(
             "tests/broker/test_hard_cases.py::test_a_client_that_hangs_up_has_its_parts_called_off",
         ),
     ),
     PlantedDefect(
-        path="stepknot/nodes/codec.py",
-        original="if len(responses) != len(parts):",
+        path="stepknot/nodes/rest_codec.py",
+        original="if len(responses) != expected:",
         replacement="if False:",
         tests=(
             "tests/broker/test_hard_cases.py::test_more_or_fewer_replies_than_parts_are_an_error_of_that_call",
         ),
     ),
     PlantedDefect(
-        path="stepknot/nodes/codec.py",
-        original="        if status == 429:\n            return [PartReply(",
-        replacement="        if False:\n            return [PartReply(",
+        path="stepknot/nodes/rest_codec.py",
+        original="        if status == TOO_MANY_REQUESTS:\n            return [REJECTED]",
+        replacement="        if False:\n            return [REJECTED]",
         tests=(
             "tests/broker/test_hard_cases.py::test_an_unsafe_part_that_was_turned_away_goes_elsewhere",
         ),
     ),
     PlantedDefect(
-        path="stepknot/nodes/codec.py",
-        original="if statuses == {429}:",
+        path="stepknot/nodes/rest_codec.py",
+        original="if statuses == {TOO_MANY_REQUESTS}:",
         replacement="if False:",
         tests=(
             "tests/broker/test_hard_cases.py::test_an_unsafe_part_that_was_turned_away_goes_elsewhere",
--- a/bench/trace_packages/broker.py
+++ b/bench/trace_packages/broker.py
@@ -113,7 +113,7 @@
         self.trace.add("cancel", self.loop.now, attempt.name, found is not None)
         attempt.call = None
 
-    def unsent(self, attempt: Any) -> bool:
+    def is_unsent(self, attempt: Any) -> bool:
         """Whether it was sent a moment ago only."""
         at, _ = self.sent_at.get(attempt, (0.0, ""))
         return self.loop.now - at < 0.004
--- a/bench/trace_packages/nodes.py
+++ b/bench/trace_packages/nodes.py
@@ -7,7 +7,8 @@
 import orjson
 
 from bench.trace_packages.trace import Trace
-from stepknot.nodes.codec import PartReply, RestCodec, SearchPart, WritePart
+from stepknot.nodes.codec import PartReply, SearchPart, WritePart
+from stepknot.nodes.rest_codec import RestCodec
 
 EXPECTED = "a1578432f87097497381277ec2ebe166cf0bfe2ca3e0ff3cf7a37ab32a21aeca"
 
--- a/bench/trace_packages/platform.py
+++ b/bench/trace_packages/platform.py
@@ -556,7 +556,7 @@
     def cancel(self, key: int) -> None:
         """Nobody waits for this attempt any more."""
         attempt = self.out.pop(key)
-        self.trace.add(self.nodes.unsent(attempt))
+        self.trace.add(self.nodes.is_unsent(attempt))
         self.nodes.cancel(attempt)
 
     def rows(self) -> list[NodeAddress]:
--- a/stepknot/broker/core.py
+++ b/stepknot/broker/core.py
@@ -459,7 +459,7 @@
             # Where it is over nothing begins any more, also what waits for a connection and what may not be cancelled.
             for number in range(part.attempts):
                 attempt = self.out.get((part.part_id, number))
-                if attempt is not None and self.boxes.unsent(attempt):
+                if attempt is not None and self.boxes.is_unsent(attempt):
                     self.end_attempt(attempt, api.Outcome.NOT_SENT, {})
         ending = result.status.value if result is not None else "gone"
         self.counts[ending] += 1
--- a/stepknot/broker/indices.py
+++ b/stepknot/broker/indices.py
@@ -21,7 +21,8 @@
 from stepknot.net.errors import HttpError
 from stepknot.net.http import ClientParser
 from stepknot.net.tasks import Future, Park
-from stepknot.nodes.connection_pool import ConnectionPool, Exchange
+from stepknot.nodes.connection_pool import ConnectionPool
+from stepknot.nodes.exchange import Exchange
 from stepknot.search.errors import ParsingError, RequestError, unsupported
 
 LEASE = (
--- a/stepknot/broker/service.py
+++ b/stepknot/broker/service.py
@@ -32,8 +32,8 @@
 from stepknot.net.loop import LAG_BUCKETS, Loop
 from stepknot.net.server import Connection, Handler, Server
 from stepknot.net.tasks import Coroutine
-from stepknot.nodes.codec import RestCodec
 from stepknot.nodes.connection_pool import ConnectionPool
+from stepknot.nodes.rest_codec import RestCodec
 from stepknot.nodes.rest_transport import RestTransport
 from stepknot.zones.model import State, ZoneView
 from stepknot.zones.policy import Zones
--- a/stepknot/frontends/search/admin.py
+++ b/stepknot/frontends/search/admin.py
@@ -222,7 +222,7 @@
                         "lag_mean_ms": 1000 * loop.lag_sum / max(loop.turns, 1),
                         "connections_opened": pool.opened,
                         "connections_reused": pool.reused,
-                        "connections_capped": pool.capped,
+                        "connections_capped": pool.rejected_at_limit,
                         "boxes": {row["name"]: row for row in self.nodes()[1:]},
                     },
                 }
--- a/stepknot/nodes/connection_pool.py
+++ b/stepknot/nodes/connection_pool.py
@@ -1,19 +1,18 @@
-"""Connections to boxes: opened as needed, kept, capped, closed when idle.
+"""Connections to nodes: opened as needed, kept while idle, limited in number.
 
-One call has a connection to itself until its reply is whole; a connection on which anything else happens
-(bytes unasked for, a malformed or overlong reply, a call given up) is closed and never used again, so no reply
-reaches another call. How a call ended says what is known of the box having seen it:
+An exchange has a connection to itself until its response is complete. A connection on which anything else happens
+(unsolicited bytes, a malformed or overlong response, a cancelled exchange) is closed and never used again, so that no
+response reaches another exchange. The outcome says whether the node may have executed the request:
 
-- `NOT_CONNECTED`: its bytes were never all handed over, so that no box can have read a whole request;
-- `RESET`: they were, and the connection ended without a whole reply: it may have run.
+- `NOT_CONNECTED`: its bytes were never all handed to the kernel, so that no node can have read a complete request;
+- `RESET`: they were, and the connection ended without a complete response: it may have been executed.
 """
 
 from __future__ import annotations
 
-import math
 from collections import deque
-from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from stepknot.interface import Outcome
 from stepknot.net.errors import HttpError, WaitTimeoutError
@@ -21,204 +20,243 @@
 from stepknot.net.link import Link
 from stepknot.net.loop import Loop
 from stepknot.net.tasks import Coroutine
+from stepknot.nodes.exchange import Exchange
 
-CHUNK = 256 * 1024
+READ_SIZE = 256 * 1024  # bytes
+UNLIMITED = 1_000_000  # connections
+TIMER_TOLERANCE = 1e-6  # seconds by which an idle connection's timer may fire early
 
 
-def nobody(parser: ClientParser | None, outcome: Outcome, reason: str) -> None:
-    """Waits no more."""
+class IdleConnection(NamedTuple):
+    """A connection without an exchange, and since when by the loop's clock."""
 
-
-@dataclass(slots=True, eq=False)
-class Exchange:
-    """One call on its way. `on_end` is called once: with a reply's parser, or None and how it ended."""
-
-    data: (
-        bytes | Callable[[], bytes]
-    )  # made, where it is, once the connection is up: as late as can be
-    on_end: Callable[[ClientParser | None, Outcome, str], None]
-    link: Link | None = None
-    ended: bool = False
-    not_after: float = math.inf  # by the loop's clock: not begun by then, it is not sent
-
-    def end(self, parser: ClientParser | None, outcome: Outcome, reason: str = "") -> None:
-        if not self.ended:
-            self.ended = True
-            on_end, self.on_end = self.on_end, nobody  # no ring is left for the collector to find
-            on_end(parser, outcome, reason)
-
-    def cancel(self) -> None:
-        """Nobody waits any more: the box sees the connection go."""
-        self.ended, self.on_end = True, nobody
-        if self.link is not None:
-            self.link.close(abort=True)
+    link: Link
+    since: float
 
 
 @dataclass(slots=True, eq=False)
-class Box:
-    """The connections to one address."""
+class NodeConnections:
+    """The connections to one address.
+
+    Attributes:
+        idle: The connection that was used last is at the right end, and is used first.
+        open: Number of connections that are open or being opened.
+        connecting: Exchanges whose connection is being opened.
+    """
 
     host: str
     port: int
-    idle: deque[tuple[Link, float]] = field(
-        default_factory=deque
-    )  # and since when; the freshest is used first
+    idle: deque[IdleConnection] = field(default_factory=deque)
     open: int = 0
-    coming: set[Exchange] = field(default_factory=set)  # those whose connection is not up yet
+    connecting: set[Exchange] = field(default_factory=set)
 
     @property
-    def name(self) -> str:
-        return f"[{self.host}]:{self.port}" if ":" in self.host else f"{self.host}:{self.port}"
+    def authority(self) -> str:
+        """Host and port as in a request's `host` header."""
+        if ":" in self.host:
+            return f"[{self.host}]:{self.port}"
+        return f"{self.host}:{self.port}"
 
 
 class ConnectionPool:
-    """All boxes' connections: `most` for each box at the most, kept idle for `idle` seconds."""
+    """The connections to all nodes.
+
+    Args:
+        loop: Runs the exchanges.
+        max_per_node: Connections to one node, at most.
+        connect_timeout: Seconds.
+        idle_seconds: For how long an idle connection is kept; 0: without a limit.
+        max_reply: Bytes of a response, at most.
+        max_total: Connections to all nodes, at most: the descriptors that this side may have.
+
+    Attributes:
+        opened: Connections that were opened so far.
+        reused: Exchanges on a kept connection so far.
+        rejected_at_limit: Exchanges that got no connection because of a limit so far.
+        malformed_replies: Malformed or overlong responses so far.
+    """
 
     def __init__(
         self,
         loop: Loop,
-        most: int,
+        max_per_node: int,
         connect_timeout: float,
-        idle: float,
-        reply: int,
-        in_all: int = 1_000_000,
+        idle_seconds: float,
+        max_reply: int,
+        max_total: int = UNLIMITED,
     ) -> None:
-        self.loop, self.most, self.connect_timeout = loop, most, connect_timeout
-        self.idle, self.reply = idle, reply
-        self.boxes: dict[str, Box] = {}
-        self.in_all, self.open = in_all, 0  # descriptors that the boxes' side may have, and has
-        self.opened = self.reused = self.capped = self.malformed_replies = 0
-
-    def box(self, address: str) -> Box:
-        box = self.boxes.get(address)
-        if box is None:
-            host, _, port = address.rpartition(":")
-            box = self.boxes[address] = Box(host.strip("[]"), int(port))
-        return box
+        self.connect_timeout = connect_timeout
+        self.opened = 0
+        self.reused = 0
+        self.rejected_at_limit = 0
+        self.malformed_replies = 0
+        self._loop = loop
+        self._max_per_node = max_per_node
+        self._idle_seconds = idle_seconds
+        self._max_reply = max_reply
+        self._max_total = max_total
+        self._nodes: dict[str, NodeConnections] = {}
+        self._open = 0  # connections that are open or being opened
+
+    def authority(self, address: str) -> str:
+        """An address as in a request's `host` header."""
+        return self._node(address).authority
 
     def start(self, address: str, exchange: Exchange) -> None:
-        self.loop.spawn(self.run(self.box(address), exchange), "call")
+        """Run an exchange with a node; its `on_end` is called later."""
+        self._loop.spawn(self._run(self._node(address), exchange), "call")
+
+    def withdraw(self, address: str) -> None:
+        """End exchanges unsent whose connection is not up, as the node accepts nothing new."""
+        node = self._nodes.get(address)
+        for exchange in list(node.connecting) if node is not None else []:
+            exchange.end(None, Outcome.NOT_CONNECTED, "it takes nothing new")
+
+    def close_idle(self, address: str) -> None:
+        """Close the idle connections to a node."""
+        node = self._nodes.get(address)
+        while node is not None and node.idle:
+            self._close(node, node.idle.pop().link)
+
+    def close(self) -> None:
+        """Close all idle connections."""
+        for address in self._nodes:
+            self.close_idle(address)
 
-    def run(self, box: Box, exchange: Exchange) -> Coroutine:
-        link, parser = None, ClientParser(self.reply)
-        handed_over = keep = False
+    def _node(self, address: str) -> NodeConnections:
+        node = self._nodes.get(address)
+        if node is None:
+            host, _, port = address.rpartition(":")
+            node = self._nodes[address] = NodeConnections(host.strip("[]"), int(port))
+        return node
+
+    # --- exchanges
+
+    def _run(self, node: NodeConnections, exchange: Exchange) -> Coroutine:
+        """Get a connection, write the request, read the response, and keep or close the connection."""
+        link = None
+        parser = ClientParser(self._max_reply)
+        is_sent = False
+        is_reusable = False
         try:
-            link = self.take_idle(box)
+            link = self._take_idle(node)
             if link is None:
-                if box.open >= self.most:
-                    self.capped += 1
-                    exchange.end(None, Outcome.NOT_CONNECTED, f"{self.most} connections are in use")
-                    return
-                if self.open >= self.in_all and not self.evict_idle():
-                    self.capped += 1
-                    exchange.end(
-                        None,
-                        Outcome.NOT_CONNECTED,
-                        f"all {self.in_all} connections to boxes are in use",
-                    )
+                rejection = self._rejection(node)
+                if rejection:
+                    self.rejected_at_limit += 1
+                    exchange.end(None, Outcome.NOT_CONNECTED, rejection)
                     return
-                box.open += 1
-                self.open += 1
-                self.opened += 1
-                box.coming.add(exchange)
-                try:
-                    link = yield from self.loop.connect(box.host, box.port, self.connect_timeout)
-                except BaseException:
-                    box.open -= 1
-                    self.open -= 1
-                    raise
-                finally:
-                    box.coming.discard(exchange)
-            if exchange.not_after <= self.loop.clock():
+                link = yield from self._connect(node, exchange)
+            if exchange.not_after <= self._loop.clock():
                 exchange.end(None, Outcome.NOT_CONNECTED, "its time is over")
             if exchange.ended:
-                keep = True
+                is_reusable = True
                 return
             exchange.link = link
-            yield from link.send(
-                exchange.data if isinstance(exchange.data, bytes) else exchange.data()
-            )
-            handed_over = True
+            data = exchange.data
+            yield from link.send(data if isinstance(data, bytes) else data())
+            is_sent = True
             while not parser.done:
-                data = yield from link.recv(CHUNK)
-                if not data:
+                received = yield from link.recv(READ_SIZE)
+                if not received:
                     raise ConnectionError("closed by the box")
-                parser.feed(data)
-            keep = parser.keep_alive and not link.closed
+                parser.feed(received)
+            is_reusable = parser.keep_alive and not link.closed
             exchange.end(parser, Outcome.SERVED)
         except HttpError as error:
             self.malformed_replies += 1
             exchange.end(None, Outcome.ERROR, error.reason)
         except (OSError, WaitTimeoutError) as error:
-            outcome = Outcome.RESET if handed_over else Outcome.NOT_CONNECTED
-            exchange.end(None, outcome, str(error) or type(error).__name__)
+            outcome = Outcome.RESET if is_sent else Outcome.NOT_CONNECTED
+            exchange.end(None, outcome, _reason_of(error))
         finally:
             parser.release()
             exchange.link = None
             if link is not None:
-                if keep:
-                    self.put_idle(box, link)
-                else:
-                    self.drop(box, link)
+                self._release(node, link, is_reusable)
+
+    def _rejection(self, node: NodeConnections) -> str:
+        """Why no connection may be opened; empty: one may. An idle connection to another node may be closed for it."""
+        if node.open >= self._max_per_node:
+            return f"{self._max_per_node} connections are in use"
+        if self._open >= self._max_total and not self._evict_idle():
+            return f"all {self._max_total} connections to boxes are in use"
+        return ""
+
+    def _connect(self, node: NodeConnections, exchange: Exchange) -> Coroutine:
+        """Open a connection; returns its link."""
+        node.open += 1
+        self._open += 1
+        self.opened += 1
+        node.connecting.add(exchange)
+        try:
+            link = yield from self._loop.connect(node.host, node.port, self.connect_timeout)
+        except BaseException:
+            node.open -= 1
+            self._open -= 1
+            raise
+        finally:
+            node.connecting.discard(exchange)
+        return link
+
+    def _release(self, node: NodeConnections, link: Link, is_reusable: bool) -> None:
+        if is_reusable:
+            self._put_idle(node, link)
+        else:
+            self._close(node, link)
+
+    def _close(self, node: NodeConnections, link: Link) -> None:
+        link.close()
+        node.open -= 1
+        self._open -= 1
 
     # --- idle connections
 
-    def take_idle(self, box: Box) -> Link | None:
-        """The freshest that is still sound: it may have ended meanwhile, or hold bytes that nobody asked for."""
-        while box.idle:
-            link, _ = box.idle.pop()
+    def _take_idle(self, node: NodeConnections) -> Link | None:
+        """The connection that was used last; those that were closed meanwhile or have unsolicited bytes are closed."""
+        while node.idle:
+            link = node.idle.pop().link
             link.on_peer_closed = None
             if not link.closed and not link.peer_closed and link.peek() is None:
                 self.reused += 1
                 return link
-            self.drop(box, link)
+            self._close(node, link)
         return None
 
-    def put_idle(self, box: Box, link: Link) -> None:
-        entry = (link, self.loop.now)
+    def _put_idle(self, node: NodeConnections, link: Link) -> None:
+        idle = IdleConnection(link, self._loop.now)
 
-        def peer_closed() -> None:
-            if entry in box.idle:
-                box.idle.remove(entry)
-                self.drop(box, link)
+        def on_peer_closed() -> None:
+            if idle in node.idle:
+                node.idle.remove(idle)
+                self._close(node, link)
 
-        link.on_peer_closed = peer_closed
+        link.on_peer_closed = on_peer_closed
         if link.peer_closed:
-            self.drop(box, link)
+            self._close(node, link)
             return
-        box.idle.append(entry)
-        if self.idle:
-            self.loop.call_later(self.idle, lambda: self.expire(box))
-
-    def expire(self, box: Box) -> None:
-        while box.idle and box.idle[0][1] <= self.loop.now - self.idle + 1e-6:
-            self.drop(box, box.idle.popleft()[0])
-
-    def drop(self, box: Box, link: Link) -> None:
-        link.close()
-        box.open -= 1
-        self.open -= 1
-
-    def evict_idle(self) -> bool:
-        """Close the idle connection that was used least lately; whether there was one."""
-        idle = [box for box in self.boxes.values() if box.idle]
-        if not idle:
+        node.idle.append(idle)
+        if self._idle_seconds:
+            self._loop.call_later(self._idle_seconds, lambda: self._close_expired(node))
+
+    def _close_expired(self, node: NodeConnections) -> None:
+        """Close the connections that are idle for longer than they are kept."""
+        latest = self._loop.now - self._idle_seconds + TIMER_TOLERANCE
+        while node.idle and node.idle[0].since <= latest:
+            self._close(node, node.idle.popleft().link)
+
+    def _evict_idle(self) -> bool:
+        """Close the least recently used idle connection; returns whether there was one."""
+        nodes = [node for node in self._nodes.values() if node.idle]
+        if not nodes:
             return False
-        box = min(idle, key=lambda each: each.idle[0][1])
-        self.drop(box, box.idle.popleft()[0])
+        node = min(nodes, key=lambda each: each.idle[0].since)
+        self._close(node, node.idle.popleft().link)
         return True
 
-    def withdraw(self, address: str) -> None:
-        """Nothing new may go there: calls whose connection is not up end unsent."""
-        box = self.boxes.get(address)
-        for exchange in list(box.coming) if box is not None else []:
-            exchange.end(None, Outcome.NOT_CONNECTED, "it takes nothing new")
 
-    def close_idle(self, address: str) -> None:
-        box = self.boxes.get(address)
-        while box is not None and box.idle:
-            self.drop(box, box.idle.pop()[0])
-
-    def close(self) -> None:
-        for address in self.boxes:
-            self.close_idle(address)
+def _reason_of(error: OSError | WaitTimeoutError) -> str:
+    """The reason of a failed exchange, as it is in logs and answers."""
+    if isinstance(error, WaitTimeoutError):
+        return "Expired"
+    return str(error) or type(error).__name__
--- a/stepknot/nodes/rest_transport.py
+++ b/stepknot/nodes/rest_transport.py
@@ -1,4 +1,4 @@
-"""The boxes' side over HTTP: calls are exchanges, each with a connection to itself, in the engines' public protocol."""
+"""The transport over HTTP: each call is an exchange with a connection to itself, in the public REST protocol."""
 
 from __future__ import annotations
 
@@ -11,20 +11,31 @@
 from stepknot.net.http import ClientParser
 from stepknot.net.loop import Loop
 from stepknot.nodes.codec import Codec, PartReply
-from stepknot.nodes.connection_pool import ConnectionPool, Exchange
+from stepknot.nodes.connection_pool import ConnectionPool
+from stepknot.nodes.exchange import Exchange
 from stepknot.nodes.transport import Load, OnReply, OutgoingAttempt, ignore_reply
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """What travels together to one box; `live` are the attempts for whose reply somebody still waits."""
+    """Attempts that travel together to one node; the reply of `awaited` of them is still awaited."""
 
     attempts: list[OutgoingAttempt]
-    live: int
+    awaited: int
     exchange: Exchange | None = None
 
 
 class RestTransport:
+    """Groups attempts into calls, and calls into exchanges of a connection pool.
+
+    Args:
+        loop: Its timers end probes.
+        pool: The connections.
+        codec: Encodes calls and decodes replies.
+        parts_per_call: Parts that share a call, at most.
+        on_event: Logs an event with its fields.
+    """
+
     def __init__(
         self,
         loop: Loop,
@@ -33,89 +44,112 @@
         parts_per_call: int,
         on_event: Callable[..., None],
     ) -> None:
-        self.loop, self.pool, self.codec = loop, pool, codec
-        self.parts_per_call, self.on_event = parts_per_call, on_event
         self.on_reply: OnReply = ignore_reply
+        self._loop = loop
+        self._pool = pool
+        self._codec = codec
+        self._parts_per_call = parts_per_call
+        self._on_event = on_event
 
     def send(self, server: str, attempts: list[OutgoingAttempt]) -> int:
-        shared = [each for each in attempts if self.codec.shares_call(each.request)]
-        alone = [each for each in attempts if not self.codec.shares_call(each.request)]
-        size = self.parts_per_call
-        groups = [shared[place : place + size] for place in range(0, len(shared), size)] + [
-            [each] for each in alone
-        ]
+        """Send the attempts of one turn to one node; returns the number of calls in which they travel."""
+        groups = self._group(attempts)
         for group in groups:
-            call = Call(group, len(group))
-            for attempt in group:
-                attempt.call = call
-            name = group[0].name
-            call.exchange = Exchange(
-                partial(self.encode, server, call),
-                partial(self.on_end, call),
-                not_after=min(each.not_after for each in group),
-            )
-            self.on_event("call_sent", server=server, query=name, parts=len(group))
-            self.pool.start(server, call.exchange)
+            self._start_call(server, group)
         return len(groups)
 
-    def encode(self, server: str, call: Call) -> bytes:
-        """A call goes without the parts that were given up while its connection came up."""
-        call.attempts = [each for each in call.attempts if each.call is call]
-        return self.codec.encode(
-            [each.request for each in call.attempts],
-            self.pool.box(server).name,
-            call.attempts[0].name,
-        )
-
-    def on_end(
-        self, call: Call, parser: ClientParser | None, outcome: Outcome, reason: str
-    ) -> None:
-        """A call ended: each attempt for which somebody still waits ends with its own outcome."""
-        load: Load = {}
-        attempts, call.attempts, call.exchange = call.attempts, [], None  # no ring is left behind
-        replies = [PartReply(outcome, reason=reason)] * len(attempts)
-        if parser is not None:
-            load = self.codec.load(parser.headers)
-            try:
-                body = parser.body()
-            except HttpError as error:
-                replies = [PartReply(Outcome.ERROR, reason=error.reason)] * len(attempts)
-            else:
-                requests = [each.request for each in attempts]
-                replies = self.codec.decode(requests, parser.status, parser.headers, body)
-        for attempt, reply in zip(attempts, replies, strict=True):
-            if attempt.call is call:
-                attempt.call = None
-                self.on_reply(attempt, reply, load)
-
     def cancel(self, attempt: OutgoingAttempt) -> None:
+        """The attempt's reply is no longer awaited. The last one of a call resets the connection."""
         call, attempt.call = attempt.call, None
-        if call is not None:
-            call.live -= 1
-            if not call.live and call.exchange is not None and not call.exchange.ended:
-                call.exchange.cancel()  # nobody waits: the box sees it, and may drop the work
-                call.exchange, call.attempts = None, []
-
-    def unsent(self, attempt: OutgoingAttempt) -> bool:
+        if call is None:
+            return
+        call.awaited -= 1
+        if not call.awaited and call.exchange is not None and not call.exchange.ended:
+            call.exchange.cancel()  # the node sees the reset, and may stop its work
+            call.exchange = None
+            call.attempts = []
+
+    def is_unsent(self, attempt: OutgoingAttempt) -> bool:
+        """Whether no byte of the attempt was handed to the kernel yet."""
         call = attempt.call
-        return call is None or call.exchange is not None and call.exchange.link is None
+        return call is None or (call.exchange is not None and call.exchange.link is None)
 
     def withdraw(self, server: str) -> None:
-        self.pool.withdraw(server)
+        """The node accepts nothing new: calls whose connection is not up end as not connected."""
+        self._pool.withdraw(server)
 
     def probe(self, server: str, on_end: Callable[[Outcome, Load], None]) -> None:
-        def end(parser: ClientParser | None, outcome: Outcome, reason: str) -> None:
+        """Request the load report alone; `on_end` is called once, after the connect timeout at the latest."""
+
+        def end(parser: ClientParser | None, outcome: Outcome, reason: str) -> None:  # noqa: ARG001
             timer.cancel()
-            on_end(outcome, self.codec.load(parser.headers) if parser is not None else {})
+            on_end(outcome, self._codec.load(parser.headers) if parser is not None else {})
 
         def expire() -> None:
             if not exchange.ended:
                 exchange.cancel()
                 end(None, Outcome.TIMED_OUT, "")
 
-        exchange = Exchange(lambda: self.codec.encode_probe(self.pool.box(server).name), end)
-        timer = self.loop.call_later(self.pool.connect_timeout, expire)
-        self.pool.start(server, exchange)
+        exchange = Exchange(lambda: self._codec.encode_probe(self._pool.authority(server)), end)
+        timer = self._loop.call_later(self._pool.connect_timeout, expire)
+        self._pool.start(server, exchange)
 
     def close_idle(self, server: str) -> None:
-        self.pool.close_idle(server)
+        """Close the connections to a node on which nothing is in flight."""
+        self._pool.close_idle(server)
+
+    def _group(self, attempts: list[OutgoingAttempt]) -> list[list[OutgoingAttempt]]:
+        """The attempts by call: those that may share one, in groups of `parts_per_call`; then the others."""
+        shared = [each for each in attempts if self._codec.shares_call(each.request)]
+        alone = [each for each in attempts if not self._codec.shares_call(each.request)]
+        size = self._parts_per_call
+        groups = [shared[start : start + size] for start in range(0, len(shared), size)]
+        groups += [[each] for each in alone]
+        return groups
+
+    def _start_call(self, server: str, attempts: list[OutgoingAttempt]) -> None:
+        call = Call(attempts, len(attempts))
+        for attempt in attempts:
+            attempt.call = call
+        call.exchange = Exchange(
+            partial(self._encode, server, call),
+            partial(self._on_end, call),
+            not_after=min(each.not_after for each in attempts),
+        )
+        self._on_event("call_sent", server=server, query=attempts[0].name, parts=len(attempts))
+        self._pool.start(server, call.exchange)
+
+    def _encode(self, server: str, call: Call) -> bytes:
+        """The call's bytes, without the parts that were cancelled while its connection was opened."""
+        call.attempts = [each for each in call.attempts if each.call is call]
+        return self._codec.encode(
+            [each.request for each in call.attempts],
+            self._pool.authority(server),
+            call.attempts[0].name,
+        )
+
+    def _on_end(
+        self, call: Call, parser: ClientParser | None, outcome: Outcome, reason: str
+    ) -> None:
+        """End each attempt of the call that is still awaited with its own outcome."""
+        attempts = call.attempts
+        call.attempts = []
+        call.exchange = None  # no reference cycle is left
+        load: Load = {}
+        if parser is not None:
+            load = self._codec.load(parser.headers)
+            replies = self._decode(attempts, parser)
+        else:
+            replies = [PartReply(outcome, reason=reason)] * len(attempts)
+        for attempt, reply in zip(attempts, replies, strict=True):
+            if attempt.call is call:
+                attempt.call = None
+                self.on_reply(attempt, reply, load)
+
+    def _decode(self, attempts: list[OutgoingAttempt], parser: ClientParser) -> list[PartReply]:
+        try:
+            body = parser.body()
+        except HttpError as error:
+            return [PartReply(Outcome.ERROR, reason=error.reason)] * len(attempts)
+        requests = [each.request for each in attempts]
+        return self._codec.decode(requests, parser.status, parser.headers, body)
--- a/stepknot/nodes/transport.py
+++ b/stepknot/nodes/transport.py
@@ -1,4 +1,4 @@
-"""What the core needs of the boxes' side, whichever protocol is spoken there."""
+"""What the core needs of the nodes' side, whichever protocol is spoken there."""
 
 from __future__ import annotations
 
@@ -10,48 +10,54 @@
 from stepknot.interface import Outcome
 from stepknot.nodes.codec import PartReply
 
-Load = dict[str, float]
+Load = dict[str, float]  # metrics of a load report by name
 
 
 @dataclass(slots=True, eq=False)
 class OutgoingAttempt:
-    """One attempt of a part on its way to a box and back, as the sides know it; the core's attempt adds the rest."""
+    """One attempt of a part, from its sending to its reply; the core's own attempt adds the rest.
 
-    request: Any  # what is asked, in the side's own terms
-    name: str  # of its query, in logs and at boxes
-    wait: float  # seconds for which somebody waits
-    call: Any = None  # the one in which it travels, in the side's own terms; none: over
-    not_after: float = (
-        math.inf
-    )  # by the loop's clock: not written whole by then, it is never written
+    Attributes:
+        request: The part, in the transport's own terms.
+        name: Name of its query, in logs and at nodes.
+        wait: Seconds for which the reply is awaited.
+        call: The call in which it travels, in the transport's own terms; None: it is over.
+        not_after: By the loop's clock; an attempt that is not completely written by then is never written.
+    """
+
+    request: Any
+    name: str
+    wait: float
+    call: Any = None
+    not_after: float = math.inf
 
 
 OnReply = Callable[[Any, PartReply, Load], None]
 
 
 class NodeTransport(Protocol):
-    """Each attempt sent ends once: by a call of `on_reply`, or by `cancel`."""
+    """Sends attempts to nodes. Each attempt ends once: by a call of `on_reply`, or by `cancel`."""
 
     on_reply: OnReply
 
     def send(self, server: str, attempts: list[Any]) -> int:
-        """What goes to one box in one turn; the number of calls in which it travels."""
+        """Send the attempts of one turn to one node; returns the number of calls in which they travel."""
 
     def cancel(self, attempt: Any) -> None:
-        """Nobody waits for it any more."""
+        """The attempt's reply is no longer awaited."""
 
-    def unsent(self, attempt: Any) -> bool:
-        """Whether no byte of it was handed to the kernel yet."""
+    def is_unsent(self, attempt: Any) -> bool:
+        """Whether no byte of the attempt was handed to the kernel yet."""
 
     def withdraw(self, server: str) -> None:
-        """Nothing new may go there: what is not on the wire yet ends as not connected."""
+        """The node accepts nothing new: attempts that are not being written yet end as not connected."""
 
     def probe(self, server: str, on_end: Callable[[Outcome, Load], None]) -> None:
-        """Ask for the load alone; `on_end` is called once."""
+        """Request the load report alone; `on_end` is called once."""
 
     def close_idle(self, server: str) -> None:
-        """Close the connections on which nothing is out."""
+        """Close the connections to a node on which nothing is in flight."""
 
 
 def ignore_reply(attempt: Any, reply: PartReply, load: Load) -> None:
-    """No core listens yet."""
+    """The value of `on_reply` until a core sets its own."""
--- a/stepknot/platform/nodes.py
+++ b/stepknot/platform/nodes.py
@@ -58,7 +58,7 @@
         if call is not None:
             call.connection.cancel(call.frame, attempt)
 
-    def unsent(self, attempt: OutgoingAttempt) -> bool:
+    def is_unsent(self, attempt: OutgoingAttempt) -> bool:
         """Whether the kernel took no byte of the attempt's frame yet."""
         return attempt.call is None or not attempt.call.frame.sent
 
--- a/stepknot/simulation/day.py
+++ b/stepknot/simulation/day.py
@@ -21,7 +21,8 @@
 from stepknot.net.http import ClientParser
 from stepknot.net.loop import Loop
 from stepknot.net.tasks import Coroutine
-from stepknot.nodes.connection_pool import ConnectionPool, Exchange
+from stepknot.nodes.connection_pool import ConnectionPool
+from stepknot.nodes.exchange import Exchange
 from stepknot.simulation import clients, corpus
 from stepknot.simulation.fleet import Box, Broker, Fleet, read_ready, readable
 from stepknot.simulation.links import Rule
--- a/stepknot/simulation/scale_run.py
+++ b/stepknot/simulation/scale_run.py
@@ -22,7 +22,7 @@
 from stepknot.interface import Outcome
 from stepknot.net.http import ClientParser
 from stepknot.net.tasks import Coroutine, Future, Park
-from stepknot.nodes.connection_pool import Exchange
+from stepknot.nodes.exchange import Exchange
 from stepknot.simulation.audit import Records, audit
 from stepknot.simulation.day import ADMISSION, Day
 from stepknot.simulation.fleet import Broker, read_ready, readable
--- a/stepknot/simulation/stand_in_node.py
+++ b/stepknot/simulation/stand_in_node.py
@@ -29,8 +29,9 @@
 from stepknot.net.loop import Loop
 from stepknot.net.server import Connection, Server
 from stepknot.net.tasks import Coroutine, Future, Park
-from stepknot.nodes.codec import LOAD_HEADER, NAMED
-from stepknot.nodes.connection_pool import ConnectionPool, Exchange
+from stepknot.nodes.connection_pool import ConnectionPool
+from stepknot.nodes.exchange import Exchange
+from stepknot.nodes.load_report import LOAD_HEADER, NAMED_PREFIX
 from stepknot.search.errors import RequestError
 from stepknot.search.request import parse_search
 from stepknot.search.routing import shard_of
@@ -250,8 +251,8 @@
         return (
             LOAD_HEADER,
             f"TEXT cpu_utilization={self.cores.busy / self.cores.count:.2f},"
-            f"{NAMED}queue={len(self.cores.waiting)},{NAMED}inflight={held},"
-            f"{NAMED}latency_ms={self.cores.latency * 1000:.2f}",
+            f"{NAMED_PREFIX}queue={len(self.cores.waiting)},{NAMED_PREFIX}inflight={held},"
+            f"{NAMED_PREFIX}latency_ms={self.cores.latency * 1000:.2f}",
         )
 
     # --- the wire
