--- a/bench/lease_search.py
+++ b/bench/lease_search.py
@@ -15,7 +15,8 @@
 import click
 
 from stepknot.simulation.lease_model import Breach, random_day
-from stepknot.simulation.lease_model_checker import Result, Scope, explore, phases, story, walk
+from stepknot.simulation.lease_model_checker import Result, explore, phases, story, walk
+from stepknot.simulation.lease_model_world import Scope
 
 SCOPES = {
     "clocks astray": Scope(claims=3, writes=2, crashes=2, losses=2),
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -17,7 +17,7 @@
 import click
 from hdrh.histogram import HdrHistogram
 
-from stepknot.leases.model import Saved
+from stepknot.leases.messages import VoterState
 from stepknot.simulation.lease_model import Fleet, Process
 
 ACT = 0.05  # seconds between two acts
@@ -68,10 +68,10 @@
     name = next(
         each
         for each, process in fleet.processes.items()
-        if process.node.jobs["job0"].owner.acting(fleet.clock(process))
+        if process.node.jobs["job0"].candidate.may_act(fleet.clock(process))
     )
     acts.last, begun = fleet.now, fleet.now
-    epochs = {name: fleet.processes[name].node.jobs["job0"].owner.epoch}
+    epochs = {name: fleet.processes[name].node.jobs["job0"].candidate.epoch}
     paused = begun + 4 * LEASE
     if fault == "crash":
         fleet.kill(name)
@@ -90,11 +90,11 @@
         if fault == "stop" and fleet.now - ACT < paused <= fleet.now:
             acts.act(fleet.now, name, epochs[name])  # it had checked before it was stopped
         for each, process in fleet.processes.items():
-            owner = process.node.jobs["job0"].owner
+            owner = process.node.jobs["job0"].candidate
             if (
                 process.running
                 and fleet.now >= process.paused_until
-                and owner.acting(fleet.clock(process))
+                and owner.may_act(fleet.clock(process))
             ):
                 epochs[each] = owner.epoch
                 acts.act(fleet.now, each, owner.epoch)
@@ -111,7 +111,7 @@
         sent[0] += 1
         send(source, to, data)
 
-    def saved(process: Process, state: Saved) -> None:
+    def saved(process: Process, state: VoterState) -> None:
         saves[0] += 1
         on_disk(process, state)
 
--- a/bench/planted_defects/leases.py
+++ b/bench/planted_defects/leases.py
@@ -5,16 +5,16 @@
 DEFECTS = [
     PlantedDefect(
         path="stepknot/leases/fence.py",
-        original="held.version <= self.newest.version:",
-        replacement="held.version < self.newest.version:",
+        original="record.version <= self.newest.version:",
+        replacement="record.version < self.newest.version:",
         tests=(
             "tests/leases/test_decisions.py::test_a_fence_takes_nothing_before_a_majority_told_and_nothing_older_after",
         ),
     ),
     PlantedDefect(
         path="stepknot/leases/fence.py",
-        original="if len(able) < self.majority:",
-        replacement="if not able:",
+        original="if len(valid) < self.quorum_size:",
+        replacement="if not valid:",
         tests=(
             "tests/leases/test_decisions.py::test_a_fence_takes_nothing_before_a_majority_told_and_nothing_older_after",
         ),
@@ -29,65 +29,65 @@
     ),
     PlantedDefect(
         path="stepknot/leases/quorum.py",
-        original="if reply.life >= newest.get(voter, 0)",
+        original="if reply.incarnation >= newest.get(voter, 0)",
         replacement="if True",
         tests=(
             "tests/leases/test_decisions.py::test_an_answer_from_before_a_memory_was_lost_does_not_count",
         ),
     ),
     PlantedDefect(
-        path="stepknot/leases/voter.py",
-        original="if len(way.done) > len(self.others) // 2:",
-        replacement="if way.done:",
+        path="stepknot/leases/recovery.py",
+        original="return len(self.finished_voters) > len(self.others) // 2",
+        replacement="return bool(self.finished_voters)",
         tests=(
             "tests/leases/test_decisions.py::test_a_voter_that_lost_its_memory_is_silent_until_most_others_told_it",
         ),
     ),
     PlantedDefect(
         path="stepknot/leases/voter.py",
-        original="None, True\n            self.votes_from = now + self.settings.hold",
-        replacement="None, True\n            self.votes_from = now",
+        original="self.unsaved = True\n            self.votes_from = now + self.settings.voter_lease_seconds",
+        replacement="self.unsaved = True\n            self.votes_from = now",
         tests=(
             "tests/leases/test_decisions.py::test_a_voter_that_lost_its_memory_is_silent_until_most_others_told_it",
         ),
     ),
     PlantedDefect(
         path="stepknot/leases/voter.py",
-        original="if job is None and len(self.jobs) >= m.MOST_JOBS:",
+        original="if job is None and len(self.jobs) >= MAX_JOBS:",
         replacement="if False:",
         tests=(
             "tests/leases/test_decisions.py::test_a_voter_takes_no_more_jobs_than_the_bound_and_says_so",
         ),
     ),
     PlantedDefect(
-        path="stepknot/leases/owner.py",
-        original="if self.bypassed and self.pending is None",
-        replacement="if False and self.pending is None",
+        path="stepknot/leases/candidate.py",
+        original="if self.election.needs_later_epoch and is_settled:",
+        replacement="if False:",
         tests=("tests/leases/test_model.py::test_a_minority_of_voters_costs_nothing",),
     ),
     PlantedDefect(
-        path="stepknot/leases/node.py",
-        original="if len(self.orders) >= ORDERS:",
+        path="stepknot/leases/commands.py",
+        original="if len(self._waiting) >= MAX_COMMANDS:",
         replacement="if False:",
         tests=("tests/leases/test_decisions.py::test_orders_are_bounded_and_end_in_time",),
     ),
     PlantedDefect(
-        path="stepknot/leases/drains.py",
-        original="len(state.out) >= drain.at_most or not left",
-        replacement="not left",
+        path="stepknot/leases/rolling_drains.py",
+        original="len(state.drained) >= plan.max_drained or not remaining",
+        replacement="not remaining",
         tests=(
             "tests/leases/test_decisions.py::test_no_more_are_out_than_asked_each_goes_once_and_the_end_is_reached",
         ),
     ),
     PlantedDefect(
-        path="stepknot/leases/drains.py",
-        original="if number in state.orders:",
+        path="stepknot/leases/rolling_drains.py",
+        original="if number in state.command_numbers:",
         replacement="if False:",
         tests=("tests/leases/test_decisions.py::test_an_order_said_twice_is_taken_once",),
     ),
     PlantedDefect(
         path="stepknot/broker/voter_store.py",
-        original="    if digest(version, body) != data[head : head + DIGEST]:\n",
+        original="    if checksum(version, body) != data[head_bytes : head_bytes + DIGEST_BYTES]:\n",
         replacement="    if False:\n",
         tests=(
             "tests/leases/test_decisions.py::test_a_state_that_is_cut_or_flipped_at_any_byte_is_a_lost_memory_and_is_put_aside",
@@ -95,7 +95,7 @@
     ),
     PlantedDefect(
         path="stepknot/broker/voter_store.py",
-        original='for path in (self.path, self.path.with_suffix(".damaged")):',
+        original="for path in (self.path, self.damaged_path):",
         replacement="for path in (self.path,):",
         tests=("tests/leases/test_decisions.py::test_a_voter_begins_once",),
     ),
@@ -109,8 +109,8 @@
     ),
     PlantedDefect(
         path="stepknot/leases/node.py",
-        original="to or (line[0] if line else None)",
-        replacement="to",
+        original="successor or next_in_rank",
+        replacement="successor",
         tests=(
             "tests/leases/test_model.py::test_a_job_that_is_handed_over_is_owned_again_within_fifty_milliseconds",
         ),
--- a/bench/scale_leases.py
+++ b/bench/scale_leases.py
@@ -13,7 +13,7 @@
 
 from scale_report import BROKERS, Effort, Finding, Gathered, Note
 
-from stepknot.leases.model import MOST_JOBS, Saved
+from stepknot.leases.messages import MAX_JOBS, VoterState
 from stepknot.simulation.lease_model import Fleet, Process
 
 LEASE = 2.0  # seconds
@@ -55,7 +55,7 @@
         self.bytes[source.name] += len(data)
         super().send(source, to, data)
 
-    def on_disk(self, process: Process, saved: Saved) -> None:
+    def on_disk(self, process: Process, saved: VoterState) -> None:
         self.saves[process.name] += 1
         super().on_disk(process, saved)
 
@@ -70,7 +70,7 @@
     def jobs_owned(self) -> int:
         return sum(
             any(
-                each.node.jobs[job].owner.acting(self.clock(each))
+                each.node.jobs[job].candidate.may_act(self.clock(each))
                 for each in self.processes.values()
             )
             for job in self.jobs
@@ -112,7 +112,7 @@
 def measure(effort: Effort) -> Iterator[Finding]:
     yield Note(
         f"owners: lease {LEASE:g} s, each job's ledger written about each {LEDGER:g} s; a fleet keeps "
-        f"{MOST_JOBS} jobs at the most"
+        f"{MAX_JOBS} jobs at the most"
     )
     for voters in (3, 5):
         for jobs in (FEW, MANY):
@@ -123,7 +123,7 @@
                     if note is not None:
                         yield note
             yield from gathered.series(f"owners, {voters} voters, {jobs} jobs")
-        gathered = Gathered("jobs", MOST_JOBS)
+        gathered = Gathered("jobs", MAX_JOBS)
         for jobs in (1, 3, 10) if effort.quick else (1, 10, 50):
             for seed in effort.seeds:
                 note = play(gathered, jobs, voters, 25, jobs, seed)
--- a/bench/trace_packages/leases.py
+++ b/bench/trace_packages/leases.py
@@ -2,20 +2,22 @@
 
 from __future__ import annotations
 
+import dataclasses
 import random
 from hashlib import blake2b
 
 import msgspec
 
 from bench.trace_packages.trace import Trace
-from stepknot.broker.voter_store import pack
-from stepknot.discovery.drained_endpoints import Drained
+from stepknot.broker.voter_store import encode_state
+from stepknot.discovery.drained_endpoints import DrainedEndpoints
 from stepknot.interface import ListKind, ListReceived, ServerEntry, ServerState
-from stepknot.leases import drains
-from stepknot.leases import model as m
-from stepknot.leases.node import Work
+from stepknot.leases import messages, rolling_drains
+from stepknot.leases.errors import CommandRejectedError
+from stepknot.leases.job import JobHandler
 from stepknot.simulation.lease_model import Fleet, Process
-from stepknot.simulation.lease_model_checker import Parts, Scope, World, encode
+from stepknot.simulation.lease_model_messages import encode
+from stepknot.simulation.lease_model_world import Parts, Scope, World
 
 EXPECTED = "9d3ded450570e7cda3cfe1f03f34df8fde5103f173aa8f870f64f38b42a4d828"
 FLEETS = ((3, 2, 2, 0.0), (5, 3, 2, 0.0), (3, 4, 1, 0.7))  # voters, clients, jobs, clocks astray
@@ -29,7 +31,7 @@
 
     recorded: Trace
 
-    def work(self, job: str, name: str, birth: int) -> Work:
+    def work(self, job: str, name: str, birth: int) -> JobHandler:
         """The model's job; an operator's order `no` is rejected, `same` changes nothing."""
         plain = super().work(job, name, birth)
 
@@ -43,24 +45,26 @@
                 (count + 1, blake2b(value, digest_size=8).digest(), birth)
             )
 
-        def begin(now: float) -> None:
+        def begin(now: float, value: bytes) -> None:
             self.recorded.add("begun", job, name, now)
 
-        return Work(plain.step, order, plain.apply, begin)
+        return JobHandler(plain.next_value, order, plain.apply_record, begin)
 
     def carry(self, process: Process) -> None:
-        self.recorded.add(*(value for event in process.node.events for value in event[1].values()))
+        self.recorded.add(
+            *(value for event in process.node._events for value in dataclasses.astuple(event))
+        )
         super().carry(process)
 
     def send(self, source: Process, to: str, data: bytes) -> None:
         self.recorded.add(self.now, source.name, to, data)
         super().send(source, to, data)
 
-    def on_disk(self, process: Process, saved: m.Saved) -> None:
-        self.recorded.add(self.now, process.name, pack(saved))
+    def on_disk(self, process: Process, saved: messages.VoterState) -> None:
+        self.recorded.add(self.now, process.name, encode_state(saved))
         super().on_disk(process, saved)
 
-    def carry_out(self, job: str, name: str, birth: int, held: m.Held) -> None:
+    def carry_out(self, job: str, name: str, birth: int, held: messages.LedgerRecord) -> None:
         self.recorded.add("applied", job, name, held.epoch, held.step, held.value)
         super().carry_out(job, name, birth, held)
 
@@ -75,7 +79,7 @@
     names = list(fleet.processes)
     lost = [False]  # one voter's memory, once
 
-    def strike(turn: int) -> None:  # noqa: PLR0912
+    def strike(turn: int) -> None:
         name, job = chance.choice(names), chance.choice(fleet.jobs)
         process = fleet.processes[name]
         kind = turn % 10
@@ -83,7 +87,7 @@
             return
         if kind in (0, 5):
             body = chance.choice((b"go", b"go", b"no", b"same"))
-            process.node.ask_for(fleet.clock(process), job, f"n{turn}", body)
+            process.node.submit_command(fleet.clock(process), job, f"n{turn}", body)
             fleet.carry(process)
         elif kind == 1:
             fleet.faults.loss = chance.uniform(0.0, 0.5)
@@ -110,18 +114,16 @@
                 fleet.kill(voter, disk=lost[0])
                 lost[0] = True
                 fleet.at(fleet.now + 0.3, lambda: fleet.start(voter))
-        elif kind == 8:
-            small = set(chance.sample(names, len(names) // 2))
+        else:  # half of the fleet is cut off, then the links are mended
+            small = set(chance.sample(names, len(names) // 2)) if kind == 8 else set()
             fleet.faults.cut = lambda source, target: (source in small) != (target in small)
-        else:
-            fleet.faults.cut = lambda source, target: False
 
     for turn in range(int(SECONDS)):
         fleet.at(2.0 + turn * 0.9, lambda turn=turn: strike(turn))  # type: ignore[misc]
     fleet.run(SECONDS)
     for name in names:
         node = fleet.processes[name].node
-        trace.add(*(str(node.taken(f"n{turn}")) for turn in range(int(SECONDS))))
+        trace.add(*(str(node.take_command_answer(f"n{turn}")) for turn in range(int(SECONDS))))
         trace.add(*(value for each in sorted(node.counters.items()) for value in each))
     trace.add(fleet.trace, fleet.overlaps, fleet.longest)
 
@@ -142,7 +144,7 @@
             trace.add(to, source, data)
         for name, voter in world.voters.items():
             disk = world.disks[name]
-            trace.add(name, encode(voter.saved()), encode(disk) if disk is not None else None)
+            trace.add(name, encode(voter.state()), encode(disk) if disk is not None else None)
         for version, value in world.counted.items():
             trace.add(*version, value)
 
@@ -165,22 +167,27 @@
         value = b""
         for turn in range(60):
             live = {
-                f"10.0.0.{number}:1": drains.Box(
+                f"10.0.0.{number}:1": rolling_drains.DrainNode(
                     "ab"[number % 2], number // 4, chance.random() < 0.9
                 )
                 for number in range(12)
             }
-            state = drains.read(value)
+            state = rolling_drains.decode_state(value)
             try:
                 if chance.random() < 0.25:
                     body = msgspec.json.encode(chance.choice(orders))
-                    after = drains.ordered(state, f"n{turn - chance.randrange(2)}", body, live)
-                    trace.add(drains.begins(state, after))
+                    after = rolling_drains.apply_command(
+                        state, f"n{turn - chance.randrange(2)}", body, live
+                    )
+                    trace.add(rolling_drains.begins_drain(state, after))
                 else:
-                    after = drains.next_step(state, live, chance.choice((0.0, 0.05, 0.2))) or state
-                value = drains.pack(after)
-                trace.add(value, drains.pause_after(after))
-            except drains.Refused as error:
+                    after = (
+                        rolling_drains.next_state(state, live, chance.choice((0.0, 0.05, 0.2)))
+                        or state
+                    )
+                value = rolling_drains.encode_state(after)
+                trace.add(value, rolling_drains.seconds_until_next_step(after))
+            except CommandRejectedError as error:
                 trace.add(str(error))
 
 
@@ -192,16 +199,16 @@
         for each in event.entries:
             trace.add(each.server, each.zone, each.cell, each.state)
 
-    chance, listed = random.Random(seed), Drained(forward)
+    chance, listed = random.Random(seed), DrainedEndpoints(forward)
     names = [f"n{number}" for number in range(8)]
     for turn in range(200):
         if chance.random() < 0.4:
-            listed.set_out(chance.sample(names, chance.randrange(4)))
+            listed.set_drained(chance.sample(names, chance.randrange(4)))
             continue
         kind = ListKind.FULL if turn % 20 == 5 else ListKind.CHANGES
         some = chance.sample(names, chance.randrange(1, 8))
         states = [chance.choice(list(ServerState)) for _ in some]
-        listed.take(
+        listed.receive_list(
             ListReceived(
                 kind,
                 tuple(
--- a/bench/trace_packages/subsets.py
+++ b/bench/trace_packages/subsets.py
@@ -13,7 +13,7 @@
 from bench.trace_packages.trace import Trace
 from stepknot.broker.subset_driver import SubsetDriver
 from stepknot.config.hcl import ConfigError
-from stepknot.discovery.drained_endpoints import Drained
+from stepknot.discovery.drained_endpoints import DrainedEndpoints
 from stepknot.discovery.endpoint_file import diff_endpoint_lists, read_endpoint_list
 from stepknot.interface import (
     Limits,
@@ -198,7 +198,7 @@
         self.loop = Loop(self._clock, on_error=lambda name, error: trace.add(name, str(error)))
         fleet = Settings(60, CELLS, 1, 16, {}, Rules(1.0, 0.2, COLD_TIME, 4.0, 1.0), Limits(3))
         own = SubsetSettings("b0", 3, 8.0, zone="a", tiers=TIERS, own=frozenset({"me:1"}))
-        self.listed = Drained(self._handed)
+        self.listed = DrainedEndpoints(self._handed)
         self.driver = SubsetDriver(
             self.loop, own, fleet, self.listed, self._handed, lambda _, **fields: self._log(fields)
         )
@@ -217,7 +217,7 @@
         self.trace.add(*(orjson.dumps(value) for value in fields.values()))
 
     def take(self, kind: ListKind, entries: list[ServerEntry]) -> None:
-        self.listed.take(ListReceived(kind, tuple(entries)))
+        self.listed.receive_list(ListReceived(kind, tuple(entries)))
 
     def count(self, brokers: int) -> None:
         self.driver.set_instances(brokers)
@@ -253,7 +253,7 @@
         kind, news = _news(chance, fleet, driven.now)
         driven.take(kind, news)
         driven.turns(chance.randrange(3))
-        driven.listed.set_out(entry.server for entry in chance.sample(fleet, 8))
+        driven.listed.set_drained(entry.server for entry in chance.sample(fleet, 8))
         if round_ % 3 == 0:
             driven.count(chance.choice([1, 30, 90]))
         driven.turns(chance.choice([2, 60]))
--- a/stepknot/broker/lease_driver.py
+++ b/stepknot/broker/lease_driver.py
@@ -1,336 +1,267 @@
-"""Ownership on the broker's loop: its datagrams by membership's socket, its ticks, its voter's disk, its first job.
+"""Leases on the broker's loop: datagrams by membership's socket, ticks, the voter's disk, log events, metrics.
 
-Nothing a query needs waits for this. A voter's replies leave once what they say is on disk.
+No query waits for it. A voter's replies leave once the state that they depend on is on disk (invariant 2).
 """
 
 from __future__ import annotations
 
-import math
+import contextlib
 import socket
 from collections import deque
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, NamedTuple
 
-import msgspec
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 from prometheus_client.metrics_core import Metric
 
 from stepknot.broker.core import Core
+from stepknot.broker.lease_views import build_leases_view, is_holder_known
 from stepknot.broker.membership_driver import MembershipDriver
-from stepknot.broker.voter_store import VoterStore, Writer, pack
-from stepknot.config.leases import Owners
-from stepknot.discovery.drained_endpoints import Drained
-from stepknot.interface import ServerState
-from stepknot.leases import drains
-from stepknot.leases.model import MARK, Held
-from stepknot.leases.node import JobView, Ownership, Work
-from stepknot.leases.owner import Phase
-from stepknot.leases.voter import Voter
+from stepknot.broker.rolling_drains import RollingDrains
+from stepknot.broker.voter_store import VoterStateWriter, VoterStore, encode_state
+from stepknot.config.leases import LeaseConfig
+from stepknot.discovery.drained_endpoints import DrainedEndpoints
+from stepknot.leases.job import Job
+from stepknot.leases.messages import DATAGRAM_MARK, VoterState
+from stepknot.leases.node import LeaseNode
+from stepknot.leases.output import LeaseEvent, LeaseLost, OutgoingDatagram
+from stepknot.leases.rolling_drains import JOB_NAME
+from stepknot.leases.settings import ProcessId
+from stepknot.leases.voter import LeaseVoter
 from stepknot.membership.model import State
 from stepknot.net.loop import Loop
 
-TICK = 0.05  # of a lease
-WINDOW = 10.0  # seconds over which failing queries are counted
-FEW = 20  # queries in it, under which nothing is said of their failing
-MOST_HELD_BACK = 1000  # replies that wait for the disk
+TICK_FRACTION = 0.05  # of a lease
+MAX_HELD_REPLIES = 1000  # that wait for the disk; a further one is lost like a datagram
+BIRTH_MASK = 2**62 - 1
 Log = Callable[..., None]
 
 
-class Owning:
-    def __init__(
-        self,
-        loop: Loop,
-        owners: Owners,
-        peering: MembershipDriver,
-        core: Core,
-        listed: Drained,
-        seed: int,
-        log: Log,
-    ) -> None:
-        """Raises OSError and `voterstore.Unfit` where the voter's state cannot be used."""
-        self.loop, self.peering, self.core, self.listed, self.log = loop, peering, core, listed, log
-        self.settings = owners.settings
-        me = peering.protocol.own.name, seed & (2**62 - 1)
-        voter = None
-        self.writer: Writer | None = None
-        self.saves = self.written = 0
-        self.held_back: deque[tuple[int, str, bytes]] = deque()  # until that save is on disk
-        self.results: deque[tuple[int, str]] = deque()  # of saves, from the writer's thread
-        if owners.state is not None:
-            store = VoterStore(owners.state, self.settings.fleet, me[0])
-            saved, why = store.load()
-            if saved is None:
-                log("voter_lost_its_memory", why=why, folder=str(owners.state))
-            voter = Voter(me[0], self.settings, saved)
-            self.inbox = loop.datagrams("127.0.0.1", 0, lambda source, data: self.on_saved())
-            self.doorbell = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            self.writer = Writer(store, self.saved)
-        self.next_step = math.inf
-        self.counted: deque[tuple[float, int, int]] = deque([(loop.clock(), 0, 0)])
-        self.node = Ownership(
-            me,
-            self.settings,
-            voter,
-            {
-                drains.JOB: Work(
-                    self.step_drains, self.order_drains, self.apply_drains, self.begin_drains
-                )
-            },
-            seed,
-            self.is_member,
-        )
-        self.able: bool | None = None
-        peering.others[MARK] = self.on_datagram
-        self.timer = loop.call_later(0.0, self.tick)
+class HeldReply(NamedTuple):
+    """A reply that waits until the save with that number is on disk."""
 
-    # --- the loop's side
+    save_number: int
+    receiver: str
+    data: bytes
 
-    def is_member(self, name: str) -> bool:
-        record = self.peering.protocol.table.present.get(name)
-        return record is not None and record.state is not State.SUSPECT
 
-    def tick(self) -> None:
-        members = [
-            name
-            for name, record in self.peering.protocol.table.present.items()
-            if record.state is State.ALIVE
-        ]
-        self.guarded(lambda now: self.node.tick(now, members))
-        self.timer = self.loop.call_later(TICK * self.settings.lease, self.tick)
+class SaveResult(NamedTuple):
+    """The writer's result; the error is empty if there was none."""
 
-    def on_datagram(self, data: bytes) -> None:
-        self.guarded(lambda now: self.node.receive(now, data))
+    save_number: int
+    error: str
 
-    def guarded(self, what: Callable[[float], Any]) -> None:
-        """The clock is asked anew: a process that stood still half way through a turn must find out here. A defect of
-        ownership's own is told loudly and costs no query."""
-        try:
-            what(self.loop.clock())
-            self.carry()
-        except Exception as error:  # noqa: BLE001
-            self.loop.on_error("ownership", error)
-
-    def carry(self) -> None:
-        """What the decisions want written, sent and told, in that order."""
-        out, saved, events = self.node.take()
-        if saved is not None and self.writer is not None:
-            self.saves += 1
-            self.writer.save(self.saves, pack(saved))
-        for to, data, waits in out:
-            if not waits or self.written == self.saves:
-                self.send(to, data)
-            elif len(self.held_back) < MOST_HELD_BACK:
-                self.held_back.append((self.saves, to, data))
-        for event, fields in events:
-            self.log(event, **fields)
-        voter = self.node.voter
-        if voter is not None and self.able != (able := voter.way is None and not voter.broken):
-            self.able = able
-            self.log(
-                "voter_votes" if able else "voter_does_not_vote", life=voter.life, why=voter.broken
-            )
-
-    def send(self, to: str, data: bytes) -> None:
-        if to == self.node.me[0]:
-            self.loop.call_later(0.0, lambda: self.on_datagram(data))
-        elif not self.peering.send_to(to, data):
-            self.node.counters["no address"] += 1
 
-    def saved(self, number: int, error: str) -> None:
-        """On the writer's thread."""
-        self.results.append((number, error))
-        try:
-            self.doorbell.sendto(b"", self.inbox.address)
-        except OSError:
-            pass  # the next tick's datagrams find it
-
-    def on_saved(self) -> None:
-        """What waited for the disk may leave; where the disk failed nothing may, from now on."""
-        while self.results:
-            number, error = self.results.popleft()
-            voter = self.node.voter
-            if error and voter is not None and not voter.broken:
-                voter.broken = f"its state cannot be written: {error}"
-                self.held_back.clear()
-                self.log("voter_broken", why=voter.broken)
-            if voter is not None and voter.broken:
-                continue
-            self.written = number
-            while self.held_back and self.held_back[0][0] <= number:
-                _, to, data = self.held_back.popleft()
-                self.send(to, data)
-        self.guarded(lambda now: None)
+@dataclass(frozen=True, slots=True)
+class BrokerParts:
+    """The parts of the broker that leases need."""
 
-    def leave(self) -> None:
-        self.guarded(self.node.leave)
+    loop: Loop
+    peering: MembershipDriver
+    core: Core
+    endpoints: DrainedEndpoints
+    log: Log
+
+
+class LeaseDriver:
+    """Carries out what the lease node decides."""
 
-    def end(self) -> None:
-        self.timer.cancel()
-        if self.writer is not None:
-            self.writer.end()
-            self.inbox.close()
-            self.doorbell.close()
-
-    # --- the first job
-
-    def boxes(self) -> dict[str, drains.Box]:
-        return {
-            server: drains.Box(entry.zone, entry.cell, entry.state is ServerState.LIVE)
-            for server, entry in self.listed.entries.items()
-        }
-
-    def failing(self, now: float) -> float:
-        """The share of queries here that got no answer of late. Of few nothing is said."""
-        counts, seen = self.core.counts, self.counted
-        bad = counts["refused"] + counts["failed"] + counts["shed"] + counts["over_bound"]
-        seen.append((now, bad + counts["answered"], bad))
-        while len(seen) > 2 and seen[1][0] <= now - WINDOW:
-            seen.popleft()
-        total = seen[-1][1] - seen[0][1]
-        return (seen[-1][2] - seen[0][2]) / total if total >= FEW else 0.0
-
-    def begin_drains(self, now: float) -> None:
-        """A new owner does not know when the last step was: it waits as long as if it had been just now."""
-        committed = self.node.jobs[drains.JOB].owner.committed
-        assert committed is not None
-        self.next_step = now + drains.pause_after(drains.read(committed.value))
-
-    def step_drains(self, now: float, value: bytes) -> bytes | None:
-        failing = (
-            self.failing(now) if now >= self.counted[-1][0] + 0.1 or now >= self.next_step else 0.0
+    def __init__(self, config: LeaseConfig, broker: BrokerParts, seed: int) -> None:
+        """Load the voter's state and begin to tick.
+
+        Raises:
+            OSError: The voter's state cannot be read.
+            VoterStateMismatchError: The state is another voter's, fleet's or version's.
+        """
+        self.settings = config.settings
+        self._loop = broker.loop
+        self._peering = broker.peering
+        self._log = broker.log
+        self._writer: VoterStateWriter | None = None
+        self._save_count = 0  # saves that were begun
+        self._saved_count = 0  # saves that are on disk
+        self._held_replies: deque[HeldReply] = deque()
+        self._save_results: deque[SaveResult] = deque()  # from the writer's thread
+        self._was_voting: bool | None = None  # as logged last
+        process = ProcessId(broker.peering.protocol.own.name, seed & BIRTH_MASK)
+        voter = self._open_voter(process.name, config) if config.state_folder is not None else None
+        drains = RollingDrains(
+            broker.loop.clock, self.settings, broker.core.counts, broker.endpoints, broker.log
         )
-        if now < self.next_step:
-            return None
-        before = drains.read(value)
-        after = drains.next_step(before, self.boxes(), failing)
-        if after is None:
-            self.next_step = now + self.settings.renew  # looked at again then
-            return None
-        given_back = len(after.out) < len(before.out)
-        # A box is out for the time that was ordered. What was given back is told to all before the next one goes.
-        self.next_step = now + (self.settings.lease if given_back else drains.pause_after(after))
-        return drains.pack(after)
-
-    def order_drains(self, value: bytes, number: str, body: bytes) -> bytes:
-        before = drains.read(value)
-        try:
-            after = drains.ordered(before, number, body, self.boxes())
-            packed = drains.pack(after)
-        except drains.Refused as error:
-            raise ValueError(str(error)) from None
-        if drains.begins(before, after):
-            self.next_step = self.loop.clock() + self.settings.renew
-        return packed
-
-    def apply_drains(self, held: Held) -> None:
-        try:
-            state = drains.read(held.value)
-        except msgspec.DecodeError as error:
-            self.log(
-                "ledger_not_understood",
-                job=drains.JOB,
-                epoch=held.epoch,
-                step=held.step,
-                error=str(error),
-            )
-            return
-        self.listed.set_out(state.out)
-        self.log(
-            "drains_changed",
-            epoch=held.epoch,
-            step=held.step,
-            status=state.status,
-            out=state.out,
-            why=state.why,
-            steps=state.steps,
+        self.node = LeaseNode(
+            process, self.settings, voter, {JOB_NAME: drains.handler()}, seed, self._is_member
         )
+        broker.peering.others[DATAGRAM_MARK] = self._on_datagram
+        self._timer = broker.loop.call_later(0.0, self._tick)
+
+    # For the broker
+
+    def guarded(self, step: Callable[[float], object]) -> None:
+        """Do one step of the node and carry out its output.
 
-    # --- operators
+        The clock is read anew: a process that stood still in the middle of a turn of its loop must find out here.
+        A defect of leases is reported and fails no query.
+        """
+        try:
+            step(self._loop.clock())
+            self.carry_out()
+        except Exception as error:  # noqa: BLE001
+            self._loop.on_error("ownership", error)
+
+    def leave(self) -> None:
+        """Shut down gracefully: hand over all jobs."""
+        self.guarded(self.node.leave)
+
+    def close(self) -> None:
+        """End the timer and the writer."""
+        self._timer.cancel()
+        if self._writer is not None:
+            self._writer.close()
+            self._save_inbox.close()
+            self._save_signal.close()
 
     def view(self) -> dict[str, Any]:
-        """What this broker knows of each job; times in seconds from now."""
-        node, now = self.node, self.loop.clock()
-        rows = []
-        for name, job in node.jobs.items():
-            owner, newest = job.owner, job.fence.newest
-            mine = owner.acting(now)
-            rows.append(
-                {
-                    "job": name,
-                    "owner": job.owner_name
-                    if mine or now - job.heard <= self.settings.lease
-                    else "",
-                    "last_owner": job.owner_name,
-                    "epoch": job.owner_epoch,
-                    "here": mine,
-                    "phase": owner.phase.value,
-                    "heard": age(now, job.heard),
-                    "since": age(now, owner.since) if mine else None,
-                    "till": round(owner.until - now, 3) if mine else None,
-                    "why": owner.why,
-                    "known_epoch": owner.known_epoch,
-                    "granted_by": list(owner.grants) if owner.phase is not Phase.IDLE else [],
-                    "version": list(newest.version) if newest else None,
-                    "ready": job.fence.ready,
-                    "older_refused": job.fence.refused,
-                }
-            )
-        newest = node.jobs[drains.JOB].fence.newest
-        voter = node.voter
-        return {
-            "name": node.me[0],
-            "voters": list(self.settings.voters),
-            "lease": self.settings.lease,
-            "jobs": rows,
-            "drains": as_dict(drains.read(newest.value)) if newest else None,
-            "voter": None
-            if voter is None
-            else {
-                "votes": voter.way is None and not voter.broken,
-                "life": voter.life,
-                "broken": voter.broken,
-                "promised": {name: each.promised for name, each in voter.jobs.items()},
-                "saves": self.written,
-            },
-            "counters": dict(node.counters),
-        }
+        """The admin answer."""
+        return build_leases_view(self.node, self._loop.clock(), self._saved_count)
 
     def collect(self) -> list[Metric]:
-        node, now = self.node, self.loop.clock()
-        found: list[Metric] = []
-        gauges: tuple[tuple[str, str, Callable[[JobView], float]], ...] = (
-            ("owned", "Whether this broker owns the job", lambda job: job.owner.acting(now)),
-            ("epoch", "The epoch of the owner that was heard last", lambda job: job.owner_epoch),
+        """The metrics."""
+        node, now = self.node, self._loop.clock()
+        metrics: list[Metric] = []
+        gauges: tuple[tuple[str, str, Callable[[Job], float]], ...] = (
+            ("owned", "Whether this broker owns the job", lambda job: job.candidate.may_act(now)),
             (
-                "known",
-                "Whether an owner is heard",
-                lambda job: now - job.heard <= self.settings.lease,
+                "epoch",
+                "The epoch of the owner that was heard last",
+                lambda job: job.holder_epoch,
             ),
+            ("known", "Whether an owner is heard", lambda job: is_holder_known(job, now)),
         )
         for name, text, value in gauges:
             gauge = GaugeMetricFamily(f"stepknot_job_{name}", text, labels=["job"])
-            for job, view in node.jobs.items():
-                gauge.add_metric([job], value(view))
-            found.append(gauge)
+            for job in node.jobs.values():
+                gauge.add_metric([job.name], value(job))
+            metrics.append(gauge)
         events = CounterMetricFamily(
             "stepknot_ownership_events", "What happened in ownership", labels=["what"]
         )
         for what, count in node.counters.items():
             events.add_metric([what], count)
-        return [
-            *found,
-            events,
-            CounterMetricFamily("stepknot_voter_saves", "Saves of the voter's state", self.written),
+        saves = CounterMetricFamily(
+            "stepknot_voter_saves", "Saves of the voter's state", self._saved_count
+        )
+        return [*metrics, events, saves]
+
+    # The loop
+
+    def _is_member(self, name: str) -> bool:
+        record = self._peering.protocol.table.present.get(name)
+        return record is not None and record.state is not State.SUSPECT
+
+    def _tick(self) -> None:
+        members = [
+            name
+            for name, record in self._peering.protocol.table.present.items()
+            if record.state is State.ALIVE
         ]
+        self.guarded(lambda now: self.node.tick(now, members))
+        tick_seconds = TICK_FRACTION * self.settings.lease_seconds
+        self._timer = self._loop.call_later(tick_seconds, self._tick)
+
+    def _on_datagram(self, data: bytes) -> None:
+        self.guarded(lambda now: self.node.receive(now, data))
+
+    def carry_out(self) -> None:
+        """Begin the save, send the datagrams, log the events: in that order."""
+        output = self.node.take_output()
+        if output.voter_state is not None and self._writer is not None:
+            self._begin_save(self._writer, output.voter_state)
+        for datagram in output.datagrams:
+            self._send_or_hold(datagram)
+        for event in output.events:
+            self._log_event(event)
+        self._log_voting()
+
+    def _send_or_hold(self, datagram: OutgoingDatagram) -> None:
+        if not datagram.after_save or self._saved_count == self._save_count:
+            self._send(datagram.receiver, datagram.data)
+        elif len(self._held_replies) < MAX_HELD_REPLIES:
+            held = HeldReply(self._save_count, datagram.receiver, datagram.data)
+            self._held_replies.append(held)
+
+    def _send(self, receiver: str, data: bytes) -> None:
+        if receiver == self.node.process.name:
+            self._loop.call_later(0.0, lambda: self._on_datagram(data))
+        elif not self._peering.send_to(receiver, data):
+            self.node.counters["no address"] += 1
 
+    def _log_event(self, event: LeaseEvent) -> None:
+        if isinstance(event, LeaseLost):
+            self._log("lease_lost", job=event.job, epoch=event.epoch, reason=event.reason)
+        else:
+            self._log("lease_acquired", job=event.job, epoch=event.epoch)
 
-def as_dict(state: drains.State) -> dict[str, Any]:
-    drain = state.drain
-    return {
-        **msgspec.structs.asdict(state),
-        "drain": msgspec.structs.asdict(drain) if drain is not None else None,
-    }
+    def _log_voting(self) -> None:
+        """Log when this broker's voter begins or ends to vote."""
+        voter = self.node.voter
+        if voter is None or voter.is_voting == self._was_voting:
+            return
+        self._was_voting = voter.is_voting
+        self._log(
+            "voter_enabled" if voter.is_voting else "voter_disabled",
+            incarnation=voter.incarnation,
+            failure=voter.failure,
+        )
+
+    # The voter's disk
+
+    def _open_voter(self, name: str, config: LeaseConfig) -> LeaseVoter:
+        assert config.state_folder is not None
+        store = VoterStore(config.state_folder, self.settings.fleet, name)
+        loaded = store.load()
+        if loaded.state is None:
+            folder = str(config.state_folder)
+            self._log("voter_state_lost", reason=loaded.loss_reason, folder=folder)
+        self._save_inbox = self._loop.datagrams("127.0.0.1", 0, self._on_save_signal)
+        self._save_signal = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self._writer = VoterStateWriter(store, self._on_saved)
+        return LeaseVoter(name, self.settings, loaded.state)
+
+    def _begin_save(self, writer: VoterStateWriter, state: VoterState) -> None:
+        self._save_count += 1
+        writer.save(self._save_count, encode_state(state))
+
+    def _on_saved(self, number: int, error: str) -> None:
+        """On the writer's thread: wake the loop."""
+        self._save_results.append(SaveResult(number, error))
+        with contextlib.suppress(OSError):  # the next save's datagram wakes the loop as well
+            self._save_signal.sendto(b"", self._save_inbox.address)
+
+    def _on_save_signal(self, source: object, data: bytes) -> None:
+        """The writer has results."""
+        del source, data
+        self._take_save_results()
+        self.guarded(_do_nothing)
+
+    def _take_save_results(self) -> None:
+        """Send the replies that waited for the disk; once a save failed, nothing that depends on it is sent."""
+        while self._save_results:
+            result = self._save_results.popleft()
+            voter = self.node.voter
+            assert voter is not None
+            if result.error and not voter.failure:
+                voter.failure = f"its state cannot be written: {result.error}"
+                self._held_replies.clear()
+                self._log("voter_state_save_failed", reason=voter.failure)
+            if voter.failure:
+                continue
+            self._saved_count = result.save_number
+            while self._held_replies and self._held_replies[0].save_number <= result.save_number:
+                reply = self._held_replies.popleft()
+                self._send(reply.receiver, reply.data)
 
 
-def age(now: float, at: float) -> float | None:
-    return round(now - at, 3) if at > -math.inf else None
+def _do_nothing(now: float) -> None:
+    """A step of which only the output counts that waits already."""
+    del now
--- a/stepknot/broker/service.py
+++ b/stepknot/broker/service.py
@@ -26,7 +26,7 @@
 from stepknot.broker.process import Life
 from stepknot.broker.queries import Queries
 from stepknot.config.settings import Config
-from stepknot.discovery.drained_endpoints import Drained
+from stepknot.discovery.drained_endpoints import DrainedEndpoints
 from stepknot.discovery.endpoint_file import EndpointFileWatcher
 from stepknot.net.http import HttpLimits, Request, Response
 from stepknot.net.loop import LAG_BUCKETS, Loop
@@ -179,7 +179,7 @@
             if config.admin is not None
             else None
         )
-        self.listed = Drained(self.core.take_list)
+        self.listed = DrainedEndpoints(self.core.take_list)
         self.subsetting = None
         if config.subset is not None:
             # Not needed, and not loaded, without the block.
@@ -198,27 +198,22 @@
             self.loop,
             config.list_file,
             config.list_every,
-            self.listed.take,
+            self.listed.receive_list,
             lambda reason: log("endpoint_list_rejected", reason=reason),
         )
         self.peering: MembershipDriver | None = None
         if config.peers is not None:
             seed = chance.getrandbits(62)
             self.peering = MembershipDriver(self.loop, config.peers, seed, self.note_instances, log)
-        self.owning = None
+        self.leases = None
         if config.owners is not None and self.peering is not None:
-            from stepknot.broker.lease_driver import (
-                Owning,
-            )  # not needed, and not loaded, without the block
+            # Not needed, and not loaded, without the block.
+            from stepknot.broker.lease_driver import BrokerParts, LeaseDriver
 
-            self.owning = Owning(
-                self.loop,
+            self.leases = LeaseDriver(
                 config.owners,
-                self.peering,
-                self.core,
-                self.listed,
+                BrokerParts(self.loop, self.peering, self.core, self.listed, log),
                 chance.getrandbits(62),
-                log,
             )
         self.registry = CollectorRegistry()
         self.registry.register(self)
@@ -322,8 +317,8 @@
 
     def ending(self) -> Coroutine:
         self.log("stopping", held=len(self.core.held))
-        if self.owning is not None:
-            self.owning.leave()
+        if self.leases is not None:
+            self.leases.leave()
         if self.peering is not None:
             self.peering.leave()
         self.server.close()
@@ -343,8 +338,8 @@
         ) and (self.loop.now < until):
             yield from self.loop.sleep(0.02)
         self.pool.close()
-        if self.owning is not None:
-            self.owning.end()
+        if self.leases is not None:
+            self.leases.close()
         if self.peering is not None:
             yield from self.peering.end()
         self.loop.stop()
@@ -380,11 +375,11 @@
             return Response(200, orjson.dumps({"broker": self.name, **self.gate.view()}))
         if request.path == "/peers" and self.peering is not None:
             return Response(200, orjson.dumps({"broker": self.name, **self.peering.view()}))
-        if request.path == "/owner" and self.owning is not None:
-            return Response(200, orjson.dumps({"broker": self.name, **self.owning.view()}))
+        if request.path == "/owner" and self.leases is not None:
+            return Response(200, orjson.dumps({"broker": self.name, **self.leases.view()}))
         if request.path == "/subset" and self.subsetting is not None:
             return (yield from self.show_subset(self.subsetting, request.query))
-        if request.path in ("/owner/order", "/owner/yield") and self.owning is not None:
+        if request.path in ("/owner/order", "/owner/yield") and self.leases is not None:
             return (yield from self.order(request))
         if request.path.startswith("/admission/") and self.gate is not None:
             return self.change_lists(request)
@@ -412,8 +407,8 @@
 
     def order(self, request: Request) -> Coroutine:
         """An operator's word for a job of the fleet, `?job=drains`: waits until it is in the ledger, or refused."""
-        assert self.owning is not None
-        node, job = self.owning.node, request.query.get("job", "")
+        assert self.leases is not None
+        node, job = self.leases.node, request.query.get("job", "")
         if request.method != "POST" or job not in node.jobs:
             return Response(
                 405 if request.method != "POST" else 404,
@@ -421,7 +416,7 @@
             )
         if request.path == "/owner/yield":
             done: list[bool] = []
-            self.owning.guarded(
+            self.leases.guarded(
                 lambda now: done.append(node.hand_over(now, job, "an operator's word"))
             )
             return Response(
@@ -429,7 +424,7 @@
                 orjson.dumps(
                     {"yielded": True}
                     if done == [True]
-                    else {"error": f"{job} is not owned here", "owner": node.jobs[job].owner_name}
+                    else {"error": f"{job} is not owned here", "owner": node.jobs[job].holder_name}
                 ),
             )
         number = request.query.get("number") or f"{self.loop.rng.getrandbits(64):016x}"
@@ -437,13 +432,13 @@
 
         def begin(now: float) -> None:
             try:
-                node.ask_for(now, job, number[:32], request.body)
+                node.submit_command(now, job, number[:32], request.body)
             except ValueError as error:
                 problem.append(str(error))
 
-        self.owning.guarded(begin)
+        self.leases.guarded(begin)
         while not problem:
-            answer = node.taken(number[:32])
+            answer = node.take_command_answer(number[:32])
             if answer is not None:
                 problem.append(answer)
             else:
@@ -558,8 +553,8 @@
             ]
         if self.peering is not None:
             found += self.peering.collect()
-        if self.owning is not None:
-            found += self.owning.collect()
+        if self.leases is not None:
+            found += self.leases.collect()
         if self.subsetting is not None:
             found += self.subsetting.collect()
         if self.gate is not None:
--- a/stepknot/broker/subset_driver.py
+++ b/stepknot/broker/subset_driver.py
@@ -23,7 +23,7 @@
     SubsetSurvey,
     disabled_gauge,
 )
-from stepknot.discovery.drained_endpoints import Drained
+from stepknot.discovery.drained_endpoints import DrainedEndpoints
 from stepknot.interface import ListKind, ListReceived, ServerEntry, Settings
 from stepknot.net.loop import Loop
 from stepknot.net.tasks import NEXT_TURN, Coroutine, Timer
@@ -37,7 +37,7 @@
 
 
 class SubsetDriver:
-    """Takes watch events from `Drained` and hands those of the subset to the core by `on_list`.
+    """Takes watch events from `DrainedEndpoints` and hands those of the subset to the core by `on_list`.
 
     Attributes:
         fault: Why the full list is used: a defect of the subset. Empty: there is none.
@@ -52,7 +52,7 @@
         loop: Loop,
         settings: SubsetSettings,
         fleet: Settings,
-        listed: Drained,
+        listed: DrainedEndpoints,
         on_list: Callable[[ListReceived], None],
         log: Log,
     ) -> None:
@@ -179,7 +179,7 @@
         self.slice_timer = self.warm_up_timer = None
         self._loop.on_error("subset", error)
         self._log("subset_disabled", reason=self.fault, nodes=len(self.listed.entries))
-        entries = map(self.listed.seen, self.listed.entries.values())
+        entries = map(self.listed.mark_drained, self.listed.entries.values())
         self._on_list(self._full_event(ListKind.FULL, entries))
 
     def _full_event(self, kind: ListKind, entries: Iterable[ServerEntry]) -> ListReceived:
--- a/stepknot/cli/broker_commands.py
+++ b/stepknot/cli/broker_commands.py
@@ -175,11 +175,11 @@
     from stepknot.broker.voter_store import VoterStore
 
     settings = read_config(config)
-    if settings.owners is None or settings.owners.state is None or settings.peers is None:
+    if settings.owners is None or settings.owners.state_folder is None or settings.peers is None:
         fail(f"{config}: this broker is none of the voters of an ownership block")
-    name, state = settings.peers.name, settings.owners.state
+    name, state = settings.peers.name, settings.owners.state_folder
     try:
-        VoterStore(state, settings.owners.settings.fleet, name).found()
+        VoterStore(state, settings.owners.settings.fleet, name).bootstrap()
     except OSError as error:
         fail(f"{config}: ownership.state: {error}")
     click.echo(f"{name} may vote; its memory is in {state}")
--- a/stepknot/cli/serve.py
+++ b/stepknot/cli/serve.py
@@ -8,9 +8,9 @@
 import orjson
 
 from stepknot.broker.service import Service
-from stepknot.broker.voter_store import Unfit
 from stepknot.config.settings import Config
 from stepknot.frontends.search.app import SearchFront
+from stepknot.leases.errors import VoterStateMismatchError
 
 Log = Callable[..., None]
 
@@ -25,7 +25,7 @@
 
     Raises:
         OSError: An address cannot be listened on.
-        Unfit: The voter's state belongs to another voter or version.
+        VoterStateMismatchError: The voter's state belongs to another voter or version.
     """
     make_graph: Callable[[Service], GraphFront] | None = None
     if config.graphql is not None:
@@ -52,7 +52,7 @@
     """
     try:
         service = make(config, log, load_again)
-    except Unfit as error:
+    except VoterStateMismatchError as error:
         print(f"error: ownership.state: {error}", file=sys.stderr)
         return 2
     except OSError as error:  # an address that is taken, or none of this machine's
--- a/stepknot/config/settings.py
+++ b/stepknot/config/settings.py
@@ -16,7 +16,7 @@
 from stepknot.config.admission import read_admission
 from stepknot.config.graphql import GraphReader, GraphSettings
 from stepknot.config.hcl import Block, ConfigError, Value, parse
-from stepknot.config.leases import Owners, read_ownership
+from stepknot.config.leases import LeaseConfig, read_ownership
 from stepknot.config.membership import Peers, read_peers
 from stepknot.config.readers import (
     Checker,
@@ -203,7 +203,7 @@
     )  # share of the traffic that each was promised
     admission: AdmissionSettings | None = None  # none: every connection is taken
     peers: Peers | None = None  # none: this broker knows of no other
-    owners: Owners | None = None  # none: no job of the fleet is taken here, and no ledger read
+    owners: LeaseConfig | None = None  # none: no job of the fleet is taken here, and no ledger read
     graphql: GraphSettings | None = None  # the second front; none: it is not served
     subset: SubsetSettings | None = None  # none: all nodes of the list are used
 
--- a/stepknot/leases/fence.py
+++ b/stepknot/leases/fence.py
@@ -1,54 +1,67 @@
-"""What those remember that carry a job's records out (invariant 6): the newest version, and nothing older after it."""
+"""The fence of a process that applies a job's records: which record is the newest (invariant 6)."""
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from stepknot.leases.model import Held, Holds
-from stepknot.leases.quorum import sound
+from stepknot.leases import quorum
+from stepknot.leases.messages import LedgerRecord, RecordReport
 
 
 @dataclass(slots=True)
 class Fence:
-    """Of one job. Until a majority of the voters told what they hold, nothing is taken: a process that just started
-    remembers nothing, and an owner that is long gone may be the first that it hears."""
-
-    majority: int
-    newest: Held | None = None
-    answers: dict[str, Holds] = field(default_factory=dict)
-    ready: bool = False
-    refused: int = 0
-
-    def hear(self, voter: str, holds: Holds) -> bool:
-        """A voter's word on what it holds. Whether something newer counts now."""
-        self.answers[voter] = holds
-        able = {each: self.answers[each] for each in sound(self.answers)}
-        if len(able) < self.majority:
+    """Admits each record of one job at most once, in the order of fencing tokens.
+
+    It admits nothing until a majority of the voters reported what they hold: a process that just started has no
+    memory of earlier records, and the first lease holder that it receives from may be an outdated one.
+    """
+
+    quorum_size: int
+    newest: LedgerRecord | None = None
+    reports: dict[str, RecordReport] = field(default_factory=dict)  # by voter
+    ready: bool = False  # a majority has reported
+    rejected_count: int = 0  # records that were older than the newest
+
+    def record_report(self, voter: str, report: RecordReport) -> bool:
+        """Take a voter's report of the record that it holds.
+
+        Returns:
+            Whether `newest` changed.
+        """
+        self.reports[voter] = report
+        valid = {each: self.reports[each] for each in quorum.valid_voters(self.reports)}
+        if len(valid) < self.quorum_size:
+            return False
+        committed = newest_committed(valid, self.quorum_size)
+        newest = max((each.record for each in valid.values()), key=lambda each: each.version)
+        if newest.step and (committed is None or committed.version < newest.version):
+            # The newest record may be committed, and the process before this one may have applied
+            # it. Its lease holder will tell.
             return False
-        found = counted(able, self.majority)
-        newest = max((each.held for each in able.values()), key=lambda held: held.version)
-        if newest.step and (found is None or found.version < newest.version):
-            return False  # it may count, and the process before this one may have taken it: its owner will say
         self.ready = True
-        return found is not None and self.admit(found)
+        return committed is not None and self.admit(committed)
 
-    def admit(self, held: Held) -> bool:
-        """A record that counts, by its owner's or the voters' word. Whether it is newer than all before."""
-        if self.newest is not None and held.version <= self.newest.version:
-            self.refused += held.version < self.newest.version
+    def admit(self, record: LedgerRecord) -> bool:
+        """Take a committed record; returns whether it is newer than all before."""
+        if self.newest is not None and record.version <= self.newest.version:
+            if record.version < self.newest.version:
+                self.rejected_count += 1
             return False
-        self.newest = held
+        self.newest = record
         return True
 
 
-def counted(answers: Mapping[str, Holds], majority: int) -> Held | None:
-    """The newest record that is known to count: its owner said so, or a majority holds just this one."""
-    held = [each.held for each in answers.values()]
-    found: Iterable[Held] = [
-        each.held
-        for each in answers.values()
-        if each.held.step
-        and (each.committed >= each.held.step or held.count(each.held) >= majority)
+def newest_committed(reports: Mapping[str, RecordReport], quorum_size: int) -> LedgerRecord | None:
+    """The newest record that is known to be committed.
+
+    A record is known to be committed if its lease holder said so to a voter, or if a majority of voters holds it.
+    """
+    records = [each.record for each in reports.values()]
+    committed = [
+        each.record
+        for each in reports.values()
+        if each.record.step
+        and (each.committed_step >= each.record.step or records.count(each.record) >= quorum_size)
     ]
-    return max(found, key=lambda each: each.version, default=None)
+    return max(committed, key=lambda each: each.version, default=None)
--- a/stepknot/leases/node.py
+++ b/stepknot/leases/node.py
@@ -1,7 +1,6 @@
-"""One broker's part in ownership: its vote, its claims, what it knows of each job's ledger. No I/O, no clock.
+"""One broker's part in leases: its voter, and for each job its candidate, fence and commands. No I/O, no clock.
 
-Fed with datagrams and ticks; gives datagrams to send, and says when the voter's state must be on disk before those that
-it names may leave.
+The driver passes in datagrams and ticks, and takes out datagrams, the voter's state and events.
 """
 
 from __future__ import annotations
@@ -10,359 +9,367 @@
 import random
 from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import Any
 
-from stepknot.leases import model as m
+from stepknot.leases.candidate import CandidateEvent, LeaseCandidate, Phase
+from stepknot.leases.commands import CommandQueue
+from stepknot.leases.errors import CommandRejectedError
 from stepknot.leases.fence import Fence
-from stepknot.leases.owner import Owner, Phase
-from stepknot.leases.place import order
-from stepknot.leases.voter import Voter
+from stepknot.leases.job import Job, JobHandler
+from stepknot.leases.messages import (
+    Accepted,
+    AcceptRequest,
+    CommandReply,
+    CommandRequest,
+    CommitNotice,
+    HandoverOffer,
+    IncarnationQuery,
+    IncarnationReply,
+    LedgerRecord,
+    Message,
+    PrepareRequest,
+    Promise,
+    RecordQuery,
+    RecordReport,
+    RecoveryReply,
+    RecoveryRequest,
+    Rejection,
+    ReleaseNotice,
+    RenewReply,
+    RenewRequest,
+    decode,
+    encode,
+)
+from stepknot.leases.output import (
+    LeaseAcquired,
+    LeaseEvent,
+    LeaseLost,
+    NodeOutput,
+    OutgoingDatagram,
+)
+from stepknot.leases.placement import rank_members
+from stepknot.leases.settings import LeaseSettings, ProcessId
+from stepknot.leases.voter import LeaseVoter
 from stepknot.membership.errors import DatagramError
 
-TURN = 0.5  # of a lease, that each next in line waits longer before it claims
-ASK_EVERY = 2.0  # leases between two questions to the voters, once a majority answered
-ORDERS = 32  # of operators, on their way to the owner, at the most
-ORDER_TIME = 5.0  # leases for which an order is asked again
+MAX_ERROR_CHARACTERS = 300
+STOP_REASON = "told to stop"
+VOTER_MESSAGES = (
+    PrepareRequest,
+    RenewRequest,
+    AcceptRequest,
+    ReleaseNotice,
+    RecordQuery,
+    IncarnationQuery,
+    IncarnationReply,
+    RecoveryRequest,
+    RecoveryReply,
+)
 
 
-@dataclass(slots=True)
-class Waiting:
-    """An operator's order that is not in the ledger yet."""
+class LeaseNode:
+    """Dispatches messages to the voter and to the jobs."""
 
-    job: str
-    body: bytes
-    until: float
-    error: str | None = None  # the owner's answer; empty: taken
-    send_at: float = -math.inf
-
-
-@dataclass(slots=True)
-class Work:
-    """What a job does. `step(now, value)` gives the next record, when its time has come; `order` the record once an
-    operator's word is taken, or raises ValueError; `apply` hears each record that counts, the newest only."""
-
-    step: Callable[[float, bytes], bytes | None]
-    order: Callable[[bytes, str, bytes], bytes]
-    apply: Callable[[m.Held], None]
-    begin: Callable[[float], None] = lambda now: None  # this broker owns the job now
-
-
-@dataclass(slots=True)
-class JobView:
-    owner: Owner
-    work: Work
-    fence: Fence
-    owner_name: str = ""  # who said last that it owns it
-    owner_epoch: int = 0
-    heard: float = -math.inf  # from the owner
-    free_since: float = math.inf  # nobody is known to own it
-    asked_at: float = -math.inf
-    tell_at: float = -math.inf
-    told: tuple[int, int] = (0, 0)  # the version that was last told whole to all
-    orders: dict[str, tuple[str, float]] = field(
-        default_factory=dict
-    )  # taken here, not in the ledger yet: by whom
-
-
-class Ownership:
     def __init__(
         self,
-        me: m.Process,
-        settings: m.OwnerSettings,
-        voter: Voter | None,
-        jobs: dict[str, Work],
+        process: ProcessId,
+        settings: LeaseSettings,
+        voter: LeaseVoter | None,
+        handlers: dict[str, JobHandler],
         seed: int,
-        member: Callable[[str], bool],
+        is_member: Callable[[str], bool],
     ) -> None:
-        """`member(name)`: whether it is held alive: a hint for whose turn it is."""
-        self.me, self.settings, self.voter, self.member = me, settings, voter, member
-        self.random = random.Random(seed)
+        """Take the voter and the jobs.
+
+        Args:
+            process: This process.
+            settings: The voters and the lease.
+            voter: This broker's voter, if it is one.
+            handlers: What each job does, by the job's name.
+            seed: Of the random pauses between elections.
+            is_member: Whether membership sees that name alive: a hint for whose turn it is.
+        """
+        self.process = process
+        self.settings = settings
+        self.voter = voter
+        self.is_member = is_member
+        chance = random.Random(seed)
         self.jobs = {
-            name: JobView(
-                Owner(name, me, settings, self.random.getrandbits(60)),
-                work,
-                Fence(settings.majority),
+            name: Job(
+                LeaseCandidate(name, process, settings, chance.getrandbits(60)),
+                handler,
+                Fence(settings.quorum_size),
             )
-            for name, work in jobs.items()
+            for name, handler in handlers.items()
         }
-        self.members: list[str] = [me[0]]
-        self.out: list[
-            tuple[str, bytes, bool]
-        ] = []  # to whom, what, and whether it waits for the disk
-        self.orders: dict[str, Waiting] = {}
+        self.members: list[str] = [process.name]
+        self.commands = CommandQueue(settings)
         self.counters: Counter[str] = Counter()
-        self.events: list[tuple[str, dict[str, Any]]] = []
-        self.yielding = False
-        self.started = False
+        self.is_leaving = False
+        self._is_started = False
+        self._datagrams: list[OutgoingDatagram] = []
+        self._events: list[LeaseEvent] = []
 
-    # --- in
+    # Input
 
     def tick(self, now: float, members: list[str]) -> None:
-        """`members`: all that are held alive, this one among them."""
+        """Do what is due. `members`: all that membership sees alive, this broker among them."""
         self.members = members
-        self.begin(now)
+        self._start(now)
         if self.voter is not None:
-            for to, message in self.voter.tick(now):
-                self.send(to, message)
-        for name, view in self.jobs.items():
-            self.work(now, name, view)
-        self.ask_orders(now)
-
-    def begin(self, now: float) -> None:
-        if not self.started:
-            self.started = True
-            for view in self.jobs.values():
-                view.free_since = now  # an owner has a lease's time to be heard
-            if self.voter is not None:
-                self.voter.start(now)
+            for receiver, message in self.voter.due_requests(now):
+                self._send(receiver, message)
+        for job in self.jobs.values():
+            self._tick_job(now, job)
+        self._send_commands(now)
 
     def receive(self, now: float, data: bytes) -> None:
-        """A datagram. What cannot be used is counted by its reason and forgotten."""
-        self.begin(now)
+        """Handle a datagram. One that cannot be used is counted by its reason."""
+        self._start(now)
         try:
-            envelope = m.decode(data, self.settings.fleet)
+            envelope = decode(data, self.settings.fleet)
         except DatagramError as error:
             self.counters[f"dropped: {error}"] += 1
             return
-        self.hear(now, (envelope.sender, envelope.birth), envelope.message)
+        sender = ProcessId(envelope.sender, envelope.birth)
+        self._handle(now, sender, envelope.message)
 
-    def hear(self, now: float, who: m.Process, message: m.Message) -> None:
-        if isinstance(message, TO_VOTER) and self.voter is not None:
-            found = self.voter.receive(now, who, message)
-            if found is not None:
-                self.send(who[0], found, waits=True)
-        job = self.jobs.get(getattr(message, "job", ""))
-        if job is not None and (answer := self.handlers.get(type(message))) is not None:
-            answer(self, now, who, job, message)
-
-    # --- a job
-
-    def work(self, now: float, name: str, view: JobView) -> None:
-        owner = view.owner
-        owner.tick(now, not self.yielding and self.my_turn(now, name, view))
-        self.carry(now, name, view)
-        if owner.acting(now):
-            view.owner_name, view.owner_epoch, view.heard = self.me[0], owner.epoch, now
-            if owner.pending is None:
-                self.advance(now, view)
-            self.tell(now, name, view)
-        elif not view.fence.ready or now >= view.asked_at + ASK_EVERY * self.settings.lease:
-            if now >= view.asked_at + self.settings.renew:
-                view.asked_at = now
-                for voter in self.settings.voters:
-                    self.send(voter, m.Ask(name))
-
-    def my_turn(self, now: float, name: str, view: JobView) -> bool:
-        """Nobody is heard to own it, and those before this one in line had their time."""
-        silent = now - view.heard > self.settings.lease or not self.member(view.owner_name)
-        if not silent:
-            view.free_since = math.inf
+    def hand_over(self, now: float, name: str, reason: str, successor: str | None = None) -> bool:
+        """Hand a job over to the successor, by default to the next in rank.
+
+        Returns:
+            Whether this broker held the job's lease.
+        """
+        job = self.jobs[name]
+        if job.candidate.phase is not Phase.HOLDING:
             return False
-        view.free_since = min(view.free_since, now)
-        line = order(name, self.members)
-        turn = line.index(self.me[0]) if self.me[0] in line else len(line)
-        return now >= view.free_since + TURN * self.settings.lease * turn
-
-    def advance(self, now: float, view: JobView) -> None:
-        """The owner's next record, if it is time for one. Asked at this very moment (the first line of defence)."""
-        assert view.owner.committed is not None
-        value = view.work.step(now, view.owner.committed.value)
+        others = [each for each in rank_members(name, self.members) if each != self.process.name]
+        next_in_rank = others[0] if others else None
+        job.candidate.hand_over(now, successor or next_in_rank, reason)
+        job.holder_seen_at = -math.inf
+        job.holder_missing_since = now
+        self._carry_out(now, job)
+        return True
+
+    def leave(self, now: float) -> None:
+        """Shut down gracefully: hand all jobs over, and start no election again."""
+        self.is_leaving = True
+        for name, job in self.jobs.items():
+            if not self.hand_over(now, name, STOP_REASON):
+                job.candidate.hand_over(now, None, STOP_REASON)
+                self._carry_out(now, job)
+
+    def submit_command(self, now: float, job: str, number: str, body: bytes) -> None:
+        """Take an operator's command and pass it to the lease holder; `take_command_answer` has the answer.
+
+        Raises:
+            CommandRejectedError: The job is unknown, the command too long, or too many wait.
+        """
+        if job not in self.jobs:
+            raise CommandRejectedError(f"no job {job}; known: {', '.join(self.jobs)}")
+        self.commands.add(now, job, number, body)
+        self._send_commands(now)
+
+    def take_command_answer(self, number: str) -> str | None:
+        """The answer to a command, given once: empty if it is in the ledger, else the error; None while it waits."""
+        return self.commands.take_answer(number)
+
+    # Output
+
+    def take_output(self) -> NodeOutput:
+        """What is to be carried out since the last call."""
+        voter_state = None
+        if self.voter is not None and self.voter.unsaved:
+            self.voter.unsaved = False
+            voter_state = self.voter.state()
+        output = NodeOutput(self._datagrams, voter_state, self._events)
+        self._datagrams = []
+        self._events = []
+        return output
+
+    def _send(self, receiver: str, message: Message, *, after_save: bool = False) -> None:
+        """Messages to this broker itself go the same way; the driver delivers them without the network."""
+        data = encode(self.settings.fleet, self.process, message)
+        self._datagrams.append(OutgoingDatagram(receiver, data, after_save))
+
+    # A job in time
+
+    def _start(self, now: float) -> None:
+        """At the first call: a lease holder has a lease's time to announce itself."""
+        if self._is_started:
+            return
+        self._is_started = True
+        for job in self.jobs.values():
+            job.holder_missing_since = now
+        if self.voter is not None:
+            self.voter.start(now)
+
+    def _tick_job(self, now: float, job: Job) -> None:
+        candidate = job.candidate
+        is_own_turn = job.is_turn_of(now, self.process.name, self.members, self.is_member)
+        candidate.tick(now, wanted=is_own_turn and not self.is_leaving)
+        self._carry_out(now, job)
+        if candidate.may_act(now):
+            job.record_holder(now, self.process.name, candidate.epoch)
+            if not candidate.has_pending_record:
+                self._propose_next(now, job)
+            self._announce(now, job)
+        elif job.is_query_due(now):
+            job.queried_at = now
+            for voter in self.settings.voters:
+                self._send(voter, RecordQuery(job.name))
+
+    def _propose_next(self, now: float, job: Job) -> None:
+        """Propose the job's next record if it is due; the caller just checked `may_act`."""
+        committed = job.candidate.committed
+        assert committed is not None
+        value = job.handler.next_value(now, committed.value)
         if value is not None:
-            view.owner.propose(now, value)
-
-    def carry(self, now: float, name: str, view: JobView) -> None:
-        """What the claims want sent and told."""
-        owner = view.owner
-        out, owner.out = owner.out, []
-        for to, message in out:
-            self.send(to, message)
-        news, owner.news = owner.news, []
-        for what in news:
-            self.counters[what] += 1
-            if what == "committed":
-                self.counts(view, owner.committed)
-                for number, (by, _) in list(view.orders.items()):
-                    del view.orders[number]
-                    self.answer_order(now, by, name, number, "")
-                if owner.committed is not None and owner.committed.step == 1:
-                    self.events.append(("job_owned", {"job": name, "epoch": owner.epoch}))
-                    view.work.begin(now)
-            elif what == "lost":
-                view.orders.clear()  # who asked asks the next owner
-                self.events.append(
-                    ("job_lost", {"job": name, "epoch": owner.epoch, "why": owner.why})
-                )
-
-    def counts(self, view: JobView, held: m.Held | None) -> None:
-        if held is not None and view.fence.admit(held):
-            view.work.apply(held)
-
-    def tell(self, now: float, name: str, view: JobView) -> None:
-        """All members hear who owns the job and which record counts; whole when it is new."""
-        held = view.owner.committed
-        assert held is not None
-        if held.version == view.told and now < view.tell_at:
+            job.candidate.propose(now, value)
+
+    def _announce(self, now: float, job: Job) -> None:
+        """Tell all members who holds the lease and which record is committed."""
+        notice = job.next_announcement(now)
+        if notice is None:
             return
-        whole, view.told, view.tell_at = (
-            held.version != view.told,
-            held.version,
-            now + self.settings.renew,
-        )
-        for each in self.members:
-            if each != self.me[0]:
-                self.send(each, m.Told(name, *held.version, held.value if whole else None))
-
-    def on_told(self, now: float, who: m.Process, view: JobView, told: m.Told) -> None:
-        if told.epoch < view.owner_epoch:
+        for member in self.members:
+            if member != self.process.name:
+                self._send(member, notice)
+
+    def _carry_out(self, now: float, job: Job) -> None:
+        """Send what the candidate wants to be sent, and handle its events."""
+        candidate = job.candidate
+        outbox, candidate.outbox = candidate.outbox, []
+        for receiver, message in outbox:
+            self._send(receiver, message)
+        events, candidate.events = candidate.events, []
+        for event in events:
+            self.counters[event.value] += 1
+            if event is CandidateEvent.RECORD_COMMITTED:
+                self._on_committed(now, job)
+            elif event is CandidateEvent.LEASE_LOST:
+                job.uncommitted_commands.clear()  # their senders ask the next lease holder
+                self._events.append(LeaseLost(job.name, candidate.epoch, candidate.reason))
+
+    def _on_committed(self, now: float, job: Job) -> None:
+        """A record of this broker's epoch was committed."""
+        committed = job.candidate.committed
+        if committed is not None:
+            job.admit_record(committed)
+        for number, sender in list(job.uncommitted_commands.items()):
+            del job.uncommitted_commands[number]
+            self._answer_command(sender, job.name, number, "")
+        if committed is not None and committed.step == 1:
+            self._events.append(LeaseAcquired(job.name, job.candidate.epoch))
+            job.handler.on_lease_acquired(now, committed.value)
+
+    # Messages
+
+    def _handle(self, now: float, sender: ProcessId, message: Message) -> None:
+        """Pass a message to the voter, to the job, or to both."""
+        if isinstance(message, VOTER_MESSAGES) and self.voter is not None:
+            reply = self.voter.receive(now, sender, message)
+            if reply is not None:
+                self._send(sender.name, reply, after_save=True)
+        job = self.jobs.get(getattr(message, "job", ""))
+        if job is not None:
+            self._handle_for_job(now, sender, job, message)
+
+    def _handle_for_job(self, now: float, sender: ProcessId, job: Job, message: Message) -> None:
+        match message:
+            case Promise() | Rejection() | RenewReply() | Accepted():
+                job.candidate.receive(now, sender.name, message)
+                self._carry_out(now, job)
+            case CommitNotice():
+                self._on_commit_notice(now, sender, job, message)
+            case RecordQuery():
+                self._on_record_query(now, sender, job, message)
+            case RecordReport():
+                self._on_record_report(sender, job, message)
+            case HandoverOffer():
+                self._on_handover_offer(now, job, message)
+            case CommandRequest():
+                self._on_command(now, sender, job, message)
+            case CommandReply():
+                self.commands.record_answer(message.number, message.error)
+
+    def _on_commit_notice(
+        self, now: float, sender: ProcessId, job: Job, notice: CommitNotice
+    ) -> None:
+        """A lease holder announced itself and its newest committed record."""
+        if notice.epoch < job.holder_epoch:
             self.counters["told by an earlier owner"] += 1
             return
-        view.owner_name, view.owner_epoch, view.heard = who[0], told.epoch, now
-        view.owner.known_epoch = max(view.owner.known_epoch, told.epoch)
-        newest = view.fence.newest
-        if newest is not None and (told.epoch, told.step) <= newest.version:
+        job.record_holder(now, sender.name, notice.epoch)
+        job.note_epoch(notice.epoch)
+        newest = job.fence.newest
+        if newest is not None and (notice.epoch, notice.step) <= newest.version:
             return
-        if told.value is None:
-            self.send(who[0], m.Ask(told.job))
-        else:  # a process that just started may hear a late owner first: it waits for the voters' word
-            held = m.Held(told.epoch, told.step, told.value)
-            if view.fence.ready:
-                self.counts(view, held)
-
-    def on_ask(self, now: float, who: m.Process, view: JobView, ask: m.Ask) -> None:
-        held = view.owner.committed
-        if held is not None and view.owner.acting(now):
-            self.send(who[0], m.Told(ask.job, *held.version, held.value))
-
-    def on_holds(self, now: float, who: m.Process, view: JobView, holds: m.Holds) -> None:
-        if who[0] in self.settings.voters:
-            view.owner.known_epoch = max(view.owner.known_epoch, holds.held.epoch)
-            if view.fence.hear(who[0], holds) and view.fence.newest is not None:
-                view.work.apply(view.fence.newest)
-
-    def on_answer(self, now: float, who: m.Process, view: JobView, message: Any) -> None:
-        view.owner.receive(now, who[0], message)
-        self.carry(now, message.job, view)
-
-    def on_offer(self, now: float, who: m.Process, view: JobView, offer: m.Offer) -> None:
-        owner = view.owner
-        if self.yielding or owner.phase is not Phase.IDLE:
+        if notice.value is None:
+            self._send(sender.name, RecordQuery(notice.job))
+        elif job.fence.ready:
+            # A process that just started may receive from an outdated holder first: it waits for the voters.
+            job.admit_record(LedgerRecord(notice.epoch, notice.step, notice.value))
+
+    def _on_record_query(self, now: float, sender: ProcessId, job: Job, query: RecordQuery) -> None:
+        """A member missed a committed record's value."""
+        committed = job.candidate.committed
+        if committed is not None and job.candidate.may_act(now):
+            notice = CommitNotice(query.job, committed.epoch, committed.step, committed.value)
+            self._send(sender.name, notice)
+
+    def _on_record_report(self, sender: ProcessId, job: Job, report: RecordReport) -> None:
+        """A voter reported what it holds."""
+        if sender.name not in self.settings.voters:
             return
-        owner.known_epoch = max(owner.known_epoch, offer.epoch)
-        owner.claim(now, released=offer.epoch)
-        self.carry(now, offer.job, view)
-
-    def hand_over(self, now: float, name: str, why: str, to: str | None = None) -> bool:
-        """Whether there was something to hand over."""
-        view = self.jobs[name]
-        if view.owner.phase is not Phase.OWNING:
-            return False
-        line = [each for each in order(name, self.members) if each != self.me[0]]
-        view.owner.hand_over(now, to or (line[0] if line else None), why)
-        view.heard, view.free_since = -math.inf, now
-        self.carry(now, name, view)
-        return True
-
-    def leave(self, now: float) -> None:
-        """Told to stop: all jobs go to the next in line, and none is taken again."""
-        self.yielding = True
-        for name, view in self.jobs.items():
-            if not self.hand_over(now, name, "told to stop"):
-                view.owner.hand_over(now, None, "told to stop")
-                self.carry(now, name, view)
-
-    # --- operators' orders
-
-    def ask_for(self, now: float, job: str, number: str, body: bytes) -> None:
-        """Raises ValueError where there is no room for it, or it is too long."""
-        if job not in self.jobs:
-            raise ValueError(f"no job {job}; known: {', '.join(self.jobs)}")
-        if len(body) > m.MOST_VALUE:
-            raise ValueError(f"an order of {len(body)} bytes, {m.MOST_VALUE} at the most")
-        if len(self.orders) >= ORDERS:
-            raise ValueError(f"{ORDERS} orders wait already")
-        self.orders[number] = Waiting(job, body, now + ORDER_TIME * self.settings.lease)
-        self.ask_orders(now)
-
-    def ask_orders(self, now: float) -> None:
-        for number, waiting in self.orders.items():
-            view = self.jobs[waiting.job]
-            if waiting.error is not None or now < waiting.send_at:
-                continue
-            if now >= waiting.until:
-                waiting.error = f"no owner of {waiting.job} took it in time: it may still be carried out, or not"
-                continue
-            waiting.send_at = now + self.settings.renew / 4
-            if view.owner.acting(now):
-                self.on_order(now, self.me, view, m.Order(waiting.job, number, waiting.body))
-            elif view.owner_name and view.owner_name != self.me[0]:
-                self.send(view.owner_name, m.Order(waiting.job, number, waiting.body))
-
-    def taken(self, number: str) -> str | None:
-        """The answer to an order, once: None while it waits."""
-        waiting = self.orders.get(number)
-        if waiting is None or waiting.error is None:
-            return None
-        return self.orders.pop(number).error
-
-    def on_order(self, now: float, who: m.Process, view: JobView, asked: m.Order) -> None:
-        owner = view.owner
-        if not owner.acting(now) or owner.pending is not None or asked.number in view.orders:
-            return  # asked again soon
-        assert owner.committed is not None
+        job.note_epoch(report.record.epoch)
+        if job.fence.record_report(sender.name, report) and job.fence.newest is not None:
+            job.handler.apply_record(job.fence.newest)
+
+    def _on_handover_offer(self, now: float, job: Job, offer: HandoverOffer) -> None:
+        """A lease holder that stopped offers the job: start an election at once."""
+        candidate = job.candidate
+        if self.is_leaving or candidate.phase is not Phase.IDLE:
+            return
+        job.note_epoch(offer.epoch)
+        candidate.start_election(now, released_epoch=offer.epoch)
+        self._carry_out(now, job)
+
+    # Commands
+
+    def _send_commands(self, now: float) -> None:
+        """Pass waiting commands to the lease holders, this broker itself among them."""
+        self.commands.expire(now)
+        for number, command in self.commands.due(now):
+            job = self.jobs[command.job]
+            request = CommandRequest(command.job, number, command.body)
+            if job.candidate.may_act(now):
+                self._on_command(now, self.process, job, request)
+            elif job.holder_name and job.holder_name != self.process.name:
+                self._send(job.holder_name, request)
+
+    def _on_command(self, now: float, sender: ProcessId, job: Job, request: CommandRequest) -> None:
+        """As the lease holder: take a command into the ledger. Its sender repeats it if this is not possible yet."""
+        candidate = job.candidate
+        is_taken = request.number in job.uncommitted_commands
+        if is_taken or candidate.has_pending_record or not candidate.may_act(now):
+            return
+        committed = candidate.committed
+        assert committed is not None
         try:
-            value = view.work.order(owner.committed.value, asked.number, asked.body)
+            value = job.handler.apply_command(committed.value, request.number, request.body)
         except ValueError as error:
-            self.answer_order(now, who[0], asked.job, asked.number, str(error)[:300] or "refused")
+            text = str(error)[:MAX_ERROR_CHARACTERS] or "refused"
+            self._answer_command(sender.name, request.job, request.number, text)
             return
-        if value == owner.committed.value:
-            self.answer_order(now, who[0], asked.job, asked.number, "")
+        if value == committed.value:
+            self._answer_command(sender.name, request.job, request.number, "")
             return
-        view.orders[asked.number] = who[0], now
-        owner.propose(now, value)
-        self.carry(now, asked.job, view)
-
-    def answer_order(self, now: float, to: str, job: str, number: str, error: str) -> None:
-        if to == self.me[0]:
-            if number in self.orders:
-                self.orders[number].error = error
-        else:
-            self.send(to, m.Answered(job, number, error))
-
-    def on_answered(self, now: float, who: m.Process, view: JobView, answered: m.Answered) -> None:
-        if answered.number in self.orders:
-            self.orders[answered.number].error = answered.error
-
-    handlers: dict[type, Any] = {
-        m.Told: on_told,
-        m.Ask: on_ask,
-        m.Holds: on_holds,
-        m.Granted: on_answer,
-        m.Refused: on_answer,
-        m.Renewed: on_answer,
-        m.Written: on_answer,
-        m.Offer: on_offer,
-        m.Order: on_order,
-        m.Answered: on_answered,
-    }
-
-    # --- out
-
-    def send(self, to: str, message: m.Message, waits: bool = False) -> None:
-        """What goes to this broker itself goes by the same way, without the network."""
-        self.out.append((to, m.encode(self.settings.fleet, self.me, message), waits))
-
-    def take(
-        self,
-    ) -> tuple[list[tuple[str, bytes, bool]], m.Saved | None, list[tuple[str, dict[str, Any]]]]:
-        """What to send; the voter's state, where it has to be on disk before what `waits` may leave; what happened."""
-        out, self.out = self.out, []
-        events, self.events = self.events, []
-        saved = None
-        if self.voter is not None and self.voter.unsaved:
-            self.voter.unsaved = False
-            saved = self.voter.saved()
-        return out, saved, events
+        job.uncommitted_commands[request.number] = sender.name
+        candidate.propose(now, value)
+        self._carry_out(now, job)
 
-
-TO_VOTER = (m.Claim, m.Renew, m.Write, m.Yield, m.Ask, m.AskLife, m.TellLife, m.Recall, m.Recalled)
+    def _answer_command(self, receiver: str, job: str, number: str, error: str) -> None:
+        if receiver == self.process.name:
+            self.commands.record_answer(number, error)
+        else:
+            self._send(receiver, CommandReply(job, number, error))
--- a/stepknot/leases/quorum.py
+++ b/stepknot/leases/quorum.py
@@ -1,4 +1,4 @@
-"""Which of some voters' replies count (invariant 3)."""
+"""Which of several voters' replies count towards a majority (invariant 3)."""
 
 from __future__ import annotations
 
@@ -6,18 +6,29 @@
 from typing import Protocol
 
 
-class Reply(Protocol):
+class VoterReply(Protocol):
+    """A reply with the voter's incarnation and all incarnations that the voter knows."""
+
     @property
-    def life(self) -> int: ...
+    def incarnation(self) -> int:
+        """The incarnation of the voter that sent the reply."""
+        ...
 
     @property
-    def lives(self) -> Mapping[str, int]: ...
+    def incarnations(self) -> Mapping[str, int]:
+        """The newest known incarnation of each voter, by name."""
+        ...
 
 
-def sound(replies: Mapping[str, Reply]) -> list[str]:
-    """The voters whose replies stand: nobody among them knows of a later life of theirs."""
+def valid_voters(replies: Mapping[str, VoterReply]) -> list[str]:
+    """The voters whose reply counts: no reply names a later incarnation of that voter."""
     newest: dict[str, int] = {}
     for reply in replies.values():
-        for voter, life in reply.lives.items():
-            newest[voter] = max(newest.get(voter, 0), life)
-    return [voter for voter, reply in replies.items() if reply.life >= newest.get(voter, 0)]
+        for voter, incarnation in reply.incarnations.items():
+            newest[voter] = max(newest.get(voter, 0), incarnation)
+    return [voter for voter, reply in replies.items() if reply.incarnation >= newest.get(voter, 0)]
+
+
+def has_quorum(replies: Mapping[str, VoterReply], quorum_size: int) -> bool:
+    """Whether at least `quorum_size` of the replies count."""
+    return len(valid_voters(replies)) >= quorum_size
--- a/stepknot/leases/voter.py
+++ b/stepknot/leases/voter.py
@@ -1,236 +1,303 @@
-"""A voter: what it promises, accepts and writes down; and its way back when it lost its memory.
+"""A voter: what it promises, accepts and stores.
 
-Each call returns a reply, or none. Whenever `unsaved` is true, `saved()` has to be on disk before any later reply
-leaves (invariant 2).
+Whenever `unsaved` is true, `state()` has to be on disk before any later reply is sent (invariant 2).
 """
 
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass, field
-from typing import Any
-
-from stepknot.leases import model as m
-
-Process = m.Process
+from dataclasses import dataclass
+
+from stepknot.leases.messages import (
+    MAX_JOBS,
+    NO_RECORD,
+    Accepted,
+    AcceptRequest,
+    IncarnationQuery,
+    IncarnationReply,
+    LedgerRecord,
+    Message,
+    PrepareRequest,
+    Promise,
+    RecordQuery,
+    RecordReport,
+    RecoveryReply,
+    RecoveryRequest,
+    Rejection,
+    ReleaseNotice,
+    RenewReply,
+    RenewRequest,
+    VoterJobState,
+    VoterState,
+)
+from stepknot.leases.recovery import RESEND_FRACTION, VoterRecovery
+from stepknot.leases.settings import LeaseSettings, ProcessId
+
+NO_PROCESS = ProcessId("", 0)
+TOO_MANY_JOBS_RETRY_MS = 60_000
+MAX_REASON_CHARACTERS = 80
 
 
 @dataclass(slots=True)
-class Job:
-    """`until`: the lease runs so long by this voter's clock; not written down."""
-
-    promised: int = 0
-    holder: Process = ("", 0)
-    held: m.Held = m.Held()
-    until: float = -math.inf
-    committed: int = 0  # the step of the held epoch that its owner said counts; not written down
+class VotedJob:
+    """A voter's state of one job."""
+
+    promised_epoch: int = 0
+    holder: ProcessId = NO_PROCESS  # whom the epoch was promised to
+    record: LedgerRecord = NO_RECORD
+    lease_expires_at: float = -math.inf  # by this voter's clock; not stored
+    committed_step: int = 0  # of the record's epoch, as its lease holder said; not stored
+
+    def is_promised_to(self, process: ProcessId, epoch: int) -> bool:
+        """Whether this very epoch was promised to this process."""
+        return self.promised_epoch == epoch and self.holder == process
+
+    def to_state(self, job: str) -> VoterJobState:
+        """The part that is stored."""
+        return VoterJobState(
+            job, self.promised_epoch, self.holder.name or "-", self.holder.birth, self.record
+        )
 
 
-@dataclass(slots=True)
-class Way:
-    """Back to a vote after the memory was lost: first which life this is, then what the others hold."""
-
-    lives: dict[str, int] = field(default_factory=dict)  # by voter: what it knows of ours
-    after: dict[str, str] = field(default_factory=dict)  # by voter: the job it told last
-    done: set[str] = field(default_factory=set)
-    life: int = 0  # 0: not known yet
-    ask_at: float = -math.inf
-
-
-class Voter:
-    def __init__(self, name: str, settings: m.OwnerSettings, saved: m.Saved | None) -> None:
-        """`saved`: as read from disk; None where there is nothing to read: the memory is lost."""
-        self.name, self.settings = name, settings
-        self.others = [each for each in settings.voters if each != name]
-        self.jobs: dict[str, Job] = {}
-        self.life, self.lives = 0, dict.fromkeys(settings.voters, 1)  # each began with its first
-        self.votes_from = (
-            math.inf
-        )  # renewals are not written down: a lease from the start is waited out
-        self.way: Way | None = Way()
+class LeaseVoter:
+    """One voter of the fleet: replies to requests of candidates, lease holders and other voters."""
+
+    def __init__(self, name: str, settings: LeaseSettings, stored: VoterState | None) -> None:
+        """Take the stored state, or begin to recover.
+
+        Args:
+            name: This broker's name.
+            settings: The fleet's voters and the lease.
+            stored: The state as read from disk; None if it is lost: the voter recovers before it votes.
+        """
+        self.name = name
+        self.settings = settings
+        self.other_voters = [each for each in settings.voters if each != name]
+        self.jobs: dict[str, VotedJob] = {}
+        self.incarnation = 0
+        self.known_incarnations = dict.fromkeys(settings.voters, 1)  # each voter begins with 1
+        # Renewals are not stored, so a lease from the start is waited out.
+        self.votes_from = math.inf
+        self.recovery: VoterRecovery | None = None
         self.unsaved = False
-        self.broken = ""  # why its disk cannot be trusted any more; it says nothing then
-        if saved is not None:
-            self.way, self.life = None, saved.life
-            self.lives |= {
-                voter: max(life, 1) for voter, life in saved.lives.items() if voter in self.lives
-            }
-            for each in saved.jobs:
-                self.jobs[each.job] = Job(each.promised, (each.holder, each.birth), each.held)
+        self.failure = ""  # why its disk cannot be trusted any more; it replies to nothing then
+        if stored is None:
+            resend_seconds = settings.lease_seconds * RESEND_FRACTION
+            self.recovery = VoterRecovery(self.other_voters, resend_seconds)
+        else:
+            self._load(stored)
+
+    @property
+    def is_voting(self) -> bool:
+        """Whether it has its state and its disk works."""
+        return self.recovery is None and not self.failure
 
     def start(self, now: float) -> None:
-        if self.way is None:
-            self.votes_from = now + self.settings.hold
+        """Begin to vote a lease from now; a voter that lost its state recovers first."""
+        if self.recovery is None:
+            self.votes_from = now + self.settings.voter_lease_seconds
 
-    def saved(self) -> m.Saved:
-        return m.Saved(
+    def state(self) -> VoterState:
+        """What has to be on disk."""
+        return VoterState(
             self.settings.fleet,
             self.name,
-            self.life,
-            {**self.lives, self.name: self.life},
-            [record(name, job) for name, job in sorted(self.jobs.items())],
+            self.incarnation,
+            self.incarnations(),
+            [job.to_state(name) for name, job in sorted(self.jobs.items())],
         )
 
-    def known(self) -> dict[str, int]:
-        return {**self.lives, self.name: self.life}
+    def incarnations(self) -> dict[str, int]:
+        """The newest known incarnation of each voter."""
+        return {**self.known_incarnations, self.name: self.incarnation}
 
-    def receive(self, now: float, who: Process, message: Any) -> m.Message | None:
-        answer = self.answers.get(type(message))
-        if (
-            answer is None
-            or self.broken
-            or self.way is not None
-            and type(message) not in self.with_no_memory
-        ):
+    def due_requests(self, now: float) -> list[tuple[str, Message]]:
+        """The requests to other voters that a recovery sends now."""
+        if self.recovery is None or self.failure:
+            return []
+        return self.recovery.due_requests(now)
+
+    def receive(self, now: float, sender: ProcessId, message: Message) -> Message | None:
+        """Handle a message; returns the reply, if there is one."""
+        if self.failure:
             return None
-        found: m.Message | None = getattr(self, answer)(now, who, message)
-        return found
-
-    # --- votes
-
-    def on_claim(self, now: float, who: Process, claim: m.Claim) -> m.Message:
-        job = self.jobs.get(claim.job)
-        if job is None and len(self.jobs) >= m.MOST_JOBS:
-            return m.Refused(
-                claim.job, claim.epoch, 0, 60_000, f"{m.MOST_JOBS} jobs are known here already"
-            )
-        job = job or Job()
-        if claim.epoch < job.promised or claim.epoch == job.promised and who != job.holder:
-            return self.refuse(now, claim, job, "a later epoch is promised")
-        if claim.epoch > job.promised:
-            if (
-                who != job.holder
-                and claim.released != job.promised
-                and now < max(job.until, self.votes_from)
-            ):
-                return self.refuse(
-                    now, claim, job, f"{job.holder[0] or 'an earlier owner'}'s lease may still run"
-                )
-            job.promised, job.holder, self.unsaved = claim.epoch, who, True
-            self.jobs[claim.job] = job
-        job.until = now + self.settings.hold
-        return m.Granted(claim.job, claim.epoch, self.life, self.known(), job.held)
-
-    def refuse(self, now: float, claim: m.Claim, job: Job, why: str) -> m.Refused:
-        wait = max(0.0, job.until - now, self.votes_from - now)
-        return m.Refused(claim.job, claim.epoch, job.promised, int(wait * 1000) + 1, why[:80])
-
-    def on_renew(self, now: float, who: Process, renew: m.Renew) -> m.Message | None:
-        job = self.jobs.get(renew.job)
-        if job is None or job.promised != renew.epoch or job.holder != who:
-            return m.Refused(
-                renew.job, renew.epoch, job.promised if job else 0, 0, "not promised here"
-            )
-        job.until = now + self.settings.hold
-        if job.held.epoch == renew.epoch and job.held.step >= renew.committed:
-            job.committed = max(job.committed, renew.committed)
-        return m.Renewed(renew.job, renew.epoch, renew.number, self.life, self.known())
-
-    def on_write(self, now: float, who: Process, write: m.Write) -> m.Message | None:
-        """Only under the epoch that this voter granted, in this life (invariant 4)."""
-        job, held = self.jobs.get(write.job), write.held
+        match message:
+            case IncarnationReply():
+                self.on_incarnation_reply(now, sender, message)
+                return None
+            case RecoveryReply():
+                self.on_recovery_reply(now, sender, message)
+                return None
+        return None if self.recovery is not None else self._reply(now, sender, message)
+
+    def _reply(self, now: float, sender: ProcessId, message: Message) -> Message | None:
+        """The reply of a voter that has its state."""
+        match message:
+            case PrepareRequest():
+                return self.on_prepare(now, sender, message)
+            case RenewRequest():
+                return self.on_renew(now, sender, message)
+            case AcceptRequest():
+                return self.on_accept(sender, message)
+            case ReleaseNotice():
+                self.on_release(sender, message)
+                return None
+            case RecordQuery():
+                return self.on_record_query(message)
+            case IncarnationQuery():
+                return self.on_incarnation_query(sender)
+            case RecoveryRequest():
+                return self.on_recovery_request(sender, message)
+        return None
+
+    # Requests of candidates and lease holders
+
+    def on_prepare(self, now: float, sender: ProcessId, request: PrepareRequest) -> Message:
+        """Promise the epoch (invariant 1), unless another process's lease may still run."""
+        job = self.jobs.get(request.job)
+        if job is None and len(self.jobs) >= MAX_JOBS:
+            reason = f"{MAX_JOBS} jobs are known here already"
+            return Rejection(request.job, request.epoch, 0, TOO_MANY_JOBS_RETRY_MS, reason)
+        job = job or VotedJob()
+        is_repeated = request.epoch == job.promised_epoch and sender == job.holder
+        if request.epoch <= job.promised_epoch and not is_repeated:
+            return self._reject_prepare(now, request, job, "a later epoch is promised")
+        if request.epoch > job.promised_epoch:
+            is_free = sender == job.holder or request.released_epoch == job.promised_epoch
+            if not is_free and now < max(job.lease_expires_at, self.votes_from):
+                holder = job.holder.name or "an earlier owner"
+                return self._reject_prepare(now, request, job, f"{holder}'s lease may still run")
+            job.promised_epoch = request.epoch
+            job.holder = sender
+            self.jobs[request.job] = job
+            self.unsaved = True
+        job.lease_expires_at = now + self.settings.voter_lease_seconds
+        return Promise(
+            request.job, request.epoch, self.incarnation, self.incarnations(), job.record
+        )
+
+    def on_renew(self, now: float, sender: ProcessId, request: RenewRequest) -> Message:
+        """Extend the lease of the process that the epoch was promised to."""
+        job = self.jobs.get(request.job)
+        if job is None or not job.is_promised_to(sender, request.epoch):
+            return self._reject(request.job, request.epoch, job, "not promised here")
+        job.lease_expires_at = now + self.settings.voter_lease_seconds
+        if job.record.epoch == request.epoch and job.record.step >= request.committed_step:
+            job.committed_step = max(job.committed_step, request.committed_step)
+        return RenewReply(
+            request.job, request.epoch, request.number, self.incarnation, self.incarnations()
+        )
+
+    def on_accept(self, sender: ProcessId, request: AcceptRequest) -> Message:
+        """Accept a record only under the epoch that this voter promised, in this incarnation (invariant 4)."""
+        job, record = self.jobs.get(request.job), request.record
         if (
             job is None
-            or job.promised != held.epoch
-            or job.holder != who
-            or write.life != self.life
+            or not job.is_promised_to(sender, record.epoch)
+            or request.incarnation != self.incarnation
         ):
-            return m.Refused(
-                write.job, held.epoch, job.promised if job else 0, 0, "not granted here"
-            )
-        if held.version > job.held.version:
-            if held.epoch != job.held.epoch:
-                job.committed = 0
-            job.held, self.unsaved = held, True
-        return m.Written(write.job, held.epoch, held.step, self.life, self.known())
-
-    def on_yield(self, now: float, who: Process, word: m.Yield) -> None:
-        job = self.jobs.get(word.job)
-        if job is not None and job.promised == word.epoch and job.holder == who:
-            job.until = -math.inf
-
-    def on_ask(self, now: float, who: Process, ask: m.Ask) -> m.Message:
-        job = self.jobs.get(ask.job) or Job()
-        return m.Holds(ask.job, self.life, self.known(), job.held, job.committed)
-
-    # --- memory lost: others'
-
-    def on_ask_life(self, now: float, who: Process, ask: m.AskLife) -> m.Message | None:
-        return m.TellLife(self.lives[who[0]]) if who[0] in self.others else None
-
-    def on_recall(self, now: float, who: Process, recall: m.Recall) -> m.Message | None:
-        if who[0] not in self.others or recall.life < self.lives[who[0]]:
-            return None
-        if recall.life > self.lives[who[0]]:
-            self.lives[who[0]], self.unsaved = recall.life, True
-        later = sorted(name for name in self.jobs if name > recall.after)
-        return m.Recalled(
-            recall.life, recall.after, record(later[0], self.jobs[later[0]]) if later else None
+            return self._reject(request.job, record.epoch, job, "not granted here")
+        if record.version > job.record.version:
+            if record.epoch != job.record.epoch:
+                job.committed_step = 0
+            job.record = record
+            self.unsaved = True
+        return Accepted(
+            request.job, record.epoch, record.step, self.incarnation, self.incarnations()
         )
 
-    # --- memory lost: its own
+    def on_release(self, sender: ProcessId, notice: ReleaseNotice) -> None:
+        """The lease ends now."""
+        job = self.jobs.get(notice.job)
+        if job is not None and job.is_promised_to(sender, notice.epoch):
+            job.lease_expires_at = -math.inf
+
+    def on_record_query(self, query: RecordQuery) -> Message:
+        """Report the record that this voter holds."""
+        job = self.jobs.get(query.job) or VotedJob()
+        return RecordReport(
+            query.job, self.incarnation, self.incarnations(), job.record, job.committed_step
+        )
 
-    def tick(self, now: float) -> list[tuple[str, m.Message]]:
-        """What to ask the others on the way back; of whom nothing came is asked again."""
-        way = self.way
-        if way is None or self.broken or now < way.ask_at:
-            return []
-        way.ask_at = now + self.settings.lease / 10
-        if not way.life:
-            return [(each, m.AskLife()) for each in self.others]
-        return [
-            (each, m.Recall(way.life, way.after.get(each, "")))
-            for each in self.others
-            if each not in way.done
-        ]
-
-    def on_tell_life(self, now: float, who: Process, told: m.TellLife) -> None:
-        """A life that finished its way back is known to a majority of the others: any two such majorities meet."""
-        way = self.way
-        if way is None or way.life or who[0] not in self.others:
-            return
-        way.lives[who[0]] = told.life
-        if len(way.lives) > len(self.others) // 2:
-            way.life, way.ask_at = max(way.lives.values()) + 1, now
+    # Requests of voters that lost their state
 
-    def on_recalled(self, now: float, who: Process, told: m.Recalled) -> None:
-        way = self.way
-        if way is None or told.life != way.life or not way.life or who[0] not in self.others:
-            return
-        if told.after != way.after.get(who[0], "") or who[0] in way.done:
-            return  # a copy
-        if told.record is not None:
-            self.learn(told.record)
-            way.after[who[0]], way.ask_at = told.record.job, now
+    def on_incarnation_query(self, sender: ProcessId) -> Message | None:
+        """Tell another voter which incarnation of it is known here."""
+        if sender.name not in self.other_voters:
+            return None
+        return IncarnationReply(self.known_incarnations[sender.name])
+
+    def on_recovery_request(self, sender: ProcessId, request: RecoveryRequest) -> Message | None:
+        """Store the sender's new incarnation, and report the next job by name."""
+        if sender.name not in self.other_voters:
+            return None
+        known = self.known_incarnations[sender.name]
+        if request.incarnation < known:
+            return None
+        if request.incarnation > known:
+            self.known_incarnations[sender.name] = request.incarnation
+            self.unsaved = True
+        name = min((each for each in self.jobs if each > request.after_job), default=None)
+        state = self.jobs[name].to_state(name) if name is not None else None
+        return RecoveryReply(request.incarnation, request.after_job, state)
+
+    # This voter's own recovery
+
+    def on_incarnation_reply(self, now: float, sender: ProcessId, reply: IncarnationReply) -> None:
+        """Another voter's knowledge of this one's incarnation."""
+        if self.recovery is not None:
+            self.recovery.record_incarnation(now, sender.name, reply.incarnation)
+
+    def on_recovery_reply(self, now: float, sender: ProcessId, reply: RecoveryReply) -> None:
+        """Another voter's state of one job; once a majority reported all, this voter votes a lease later."""
+        recovery = self.recovery
+        if recovery is None:
             return
-        way.done.add(who[0])
-        if len(way.done) > len(self.others) // 2:
-            self.life, self.way, self.unsaved = way.life, None, True
-            self.votes_from = now + self.settings.hold
-
-    def learn(self, told: m.JobRecord) -> None:
-        job = self.jobs.setdefault(told.job, Job())
-        if told.promised > job.promised:
-            job.promised, job.holder = (
-                told.promised,
-                ("", 0),
-            )  # not by this voter: it renews and accepts nothing of it
-        if told.held.version > job.held.version:
-            job.held = told.held
-
-    answers: dict[type, str] = {
-        m.Claim: "on_claim",
-        m.Renew: "on_renew",
-        m.Write: "on_write",
-        m.Yield: "on_yield",
-        m.Ask: "on_ask",
-        m.AskLife: "on_ask_life",
-        m.Recall: "on_recall",
-        m.TellLife: "on_tell_life",
-        m.Recalled: "on_recalled",
-    }
-    with_no_memory = (m.TellLife, m.Recalled)
-
-
-def record(name: str, job: Job) -> m.JobRecord:
-    return m.JobRecord(name, job.promised, job.holder[0] or "-", job.holder[1], job.held)
+        state = recovery.record_reply(now, sender.name, reply)
+        if state is not None:
+            self.merge_state(state)
+        elif recovery.majority_finished:
+            self.incarnation = recovery.incarnation
+            self.recovery = None
+            self.unsaved = True
+            self.votes_from = now + self.settings.voter_lease_seconds
+
+    def merge_state(self, state: VoterJobState) -> None:
+        """Take over another voter's newer promise and newer record.
+
+        The promise was not this voter's: it neither renews that lease nor accepts a record of it.
+        """
+        job = self.jobs.setdefault(state.job, VotedJob())
+        if state.promised_epoch > job.promised_epoch:
+            job.promised_epoch = state.promised_epoch
+            job.holder = NO_PROCESS
+        if state.record.version > job.record.version:
+            job.record = state.record
+
+    # Helpers
+
+    def _load(self, stored: VoterState) -> None:
+        self.incarnation = stored.incarnation
+        for voter, incarnation in stored.incarnations.items():
+            if voter in self.known_incarnations:
+                self.known_incarnations[voter] = max(incarnation, 1)
+        for each in stored.jobs:
+            holder = ProcessId(each.holder, each.holder_birth)
+            self.jobs[each.job] = VotedJob(each.promised_epoch, holder, each.record)
+
+    def _reject_prepare(
+        self, now: float, request: PrepareRequest, job: VotedJob, reason: str
+    ) -> Rejection:
+        """A rejection that says when the voter's lease or its start has passed."""
+        wait = max(0.0, job.lease_expires_at - now, self.votes_from - now)
+        return Rejection(
+            request.job,
+            request.epoch,
+            job.promised_epoch,
+            int(wait * 1000) + 1,
+            reason[:MAX_REASON_CHARACTERS],
+        )
+
+    def _reject(self, name: str, epoch: int, job: VotedJob | None, reason: str) -> Rejection:
+        """A rejection that need not be waited for."""
+        return Rejection(name, epoch, job.promised_epoch if job is not None else 0, 0, reason)
--- a/stepknot/simulation/lease_model.py
+++ b/stepknot/simulation/lease_model.py
@@ -17,9 +17,11 @@
 
 import msgspec
 
-from stepknot.leases import model as m
-from stepknot.leases.node import Ownership, Work
-from stepknot.leases.voter import Voter
+from stepknot.leases import messages
+from stepknot.leases.job import JobHandler
+from stepknot.leases.node import LeaseNode
+from stepknot.leases.settings import LeaseSettings, ProcessId
+from stepknot.leases.voter import LeaseVoter
 
 FASTEST, SLOWEST = 0.0002, 0.002  # seconds on the way, when nothing is wrong
 TICK = 0.05  # of a lease
@@ -43,7 +45,7 @@
 class Process:
     name: str
     birth: int
-    node: Ownership
+    node: LeaseNode
     rate: float  # of its clock
     running: bool = True
     paused_until: float = -math.inf
@@ -66,19 +68,19 @@
         drift: float = 0.05,
         astray: float = 0.0,
         period: float = 0.1,
-        make_voter: type[Voter] = Voter,
+        make_voter: type[LeaseVoter] = LeaseVoter,
     ) -> None:
         """`astray`: by so much clocks' rates differ beyond what the settings say."""
         self.random = random.Random(seed)
         self.now, self.count = 0.0, 0
         self.events: list[tuple[float, int, Callable[[], Any]]] = []
         names = [f"b{number}" for number in range(voters + clients)]
-        self.settings = m.OwnerSettings(tuple(names[:voters]), lease=lease, drift=drift)
+        self.settings = LeaseSettings(tuple(names[:voters]), lease_seconds=lease, max_drift=drift)
         self.spread, self.period, self.make_voter = drift / 2 + astray, period, make_voter
         self.jobs = [f"job{number}" for number in range(jobs)]
         self.faults = Faults()
-        self.disks: dict[str, m.Saved | None] = {
-            name: m.Saved("stepknot", name, 1, {}, []) for name in names[:voters]
+        self.disks: dict[str, messages.VoterState | None] = {
+            name: messages.VoterState("stepknot", name, 1, {}, []) for name in names[:voters]
         }
         self.processes: dict[str, Process] = {}
         self.down: set[str] = set()  # for the members' view, which learns of it late
@@ -101,8 +103,8 @@
         if name in self.settings.voters:
             voter = self.make_voter(name, self.settings, self.disks[name])
         works = {job: self.work(job, name, birth) for job in self.jobs}
-        node = Ownership(
-            (name, birth),
+        node = LeaseNode(
+            ProcessId(name, birth),
             self.settings,
             voter,
             works,
@@ -115,7 +117,7 @@
         self.down.discard(name)
         self.tick(process)
 
-    def work(self, job: str, name: str, birth: int) -> Work:
+    def work(self, job: str, name: str, birth: int) -> JobHandler:
         """The job's next record names the one before it; it is due about each `period`."""
         due = [0.0]
 
@@ -128,7 +130,7 @@
                 (number + 1, blake2b(value, digest_size=8).digest(), birth)
             )
 
-        return Work(
+        return JobHandler(
             step,
             lambda value, number, body: value,
             lambda held: self.carry_out(job, name, birth, held),
@@ -139,7 +141,7 @@
         process.running = False
         if not disk:
             self.disks[name] = None
-        self.at(self.now + 2 * self.settings.lease, lambda: self.note_down(process))
+        self.at(self.now + 2 * self.settings.lease_seconds, lambda: self.note_down(process))
 
     def note_down(self, process: Process) -> None:
         if self.processes[process.name] is process:
@@ -182,24 +184,25 @@
             self.carry(process)
             self.look()
         if not once:
-            self.at(self.now + TICK * self.settings.lease, lambda: self.tick(process))
+            self.at(self.now + TICK * self.settings.lease_seconds, lambda: self.tick(process))
 
     def carry(self, process: Process) -> None:
         self.note_commits(process)
-        out, saved, _ = process.node.take()
+        output = process.node.take_output()
+        saved = output.voter_state
         if saved is not None:
             process.writing += 1
             process.disk_free = (
                 max(process.disk_free, self.now) + self.random.uniform(0.1, 1.0) * DISK
             )
             self.at(process.disk_free, lambda: self.on_disk(process, saved))
-        for to, data, waits in out:
-            if waits and process.writing:
-                process.held_back.append((to, data))
+        for each in output.datagrams:
+            if each.after_save and process.writing:
+                process.held_back.append((each.receiver, each.data))
             else:
-                self.send(process, to, data)
+                self.send(process, each.receiver, each.data)
 
-    def on_disk(self, process: Process, saved: m.Saved) -> None:
+    def on_disk(self, process: Process, saved: messages.VoterState) -> None:
         """One that dies before this forgets it; nobody was told."""
         if process.running:
             self.disks[process.name] = saved
@@ -231,7 +234,7 @@
 
     def note_commits(self, process: Process) -> None:
         for job, view in process.node.jobs.items():
-            held = view.owner.committed
+            held = view.candidate.committed
             if held is None or held.version in self.committed[job]:
                 if held is not None and self.committed[job][held.version] != held.value:
                     raise Breach(f"{job}: two records count as {held.version}")
@@ -254,7 +257,7 @@
                     )
             history[held.version] = held.value
 
-    def carry_out(self, job: str, name: str, birth: int, held: m.Held) -> None:
+    def carry_out(self, job: str, name: str, birth: int, held: messages.LedgerRecord) -> None:
         last = self.ever.get((name, job), (0, 0))
         if held.version < last:
             raise Breach(
@@ -276,7 +279,7 @@
                 for each in self.processes.values()
                 if each.running
                 and self.now >= each.paused_until
-                and each.node.jobs[job].owner.acting(self.clock(each))
+                and each.node.jobs[job].candidate.may_act(self.clock(each))
             ]
             if len(acting) > 1:
                 self.overlaps += 1
@@ -290,9 +293,11 @@
         """Every job has an owner, and all that run hold the same record."""
         for job in self.jobs:
             views = [each.node.jobs[job] for each in self.processes.values() if each.running]
-            if not any(each.owner.acting(self.now) or each.owner.committed for each in views):
+            if not any(
+                each.candidate.may_act(self.now) or each.candidate.committed for each in views
+            ):
                 return False
-            if self.now - self.owned[job] > 2 * TICK * self.settings.lease:
+            if self.now - self.owned[job] > 2 * TICK * self.settings.lease_seconds:
                 return False
         return True
 
@@ -308,7 +313,7 @@
     jobs: int = 3,
     seconds: float = 40.0,
     astray: float = 0.0,
-    make_voter: type[Voter] = Voter,
+    make_voter: type[LeaseVoter] = LeaseVoter,
 ) -> Fleet:
     """Faults drawn from the seed, some kinds each time; then calm, by whose end all jobs have owners. Raises Breach."""
     chance = random.Random(seed)
@@ -327,7 +332,7 @@
 
     def trouble() -> None:
         kind, name = chance.choice(kinds), chance.choice(names)
-        long = chance.uniform(0.1, 3.0) * fleet.settings.lease
+        long = chance.uniform(0.1, 3.0) * fleet.settings.lease_seconds
         if kind in ("loss", "late", "copies"):
             setattr(fleet.faults, kind, chance.uniform(0.0, 0.4))
             fleet.at(fleet.now + long, lambda: setattr(fleet.faults, kind, 0.0))
@@ -366,7 +371,7 @@
                 fleet.now + long, lambda: setattr(fleet.faults, "cut", lambda source, target: False)
             )
         if lost_until[0] == math.inf and all(
-            each.node.voter is None or each.running and each.node.voter.way is None
+            each.node.voter is None or each.running and each.node.voter.recovery is None
             for each in fleet.processes.values()
         ):
             lost_until[0] = fleet.now
@@ -380,7 +385,7 @@
     for name, process in fleet.processes.items():
         if not process.running:
             fleet.start(name)
-    fleet.run(seconds + 12 * fleet.settings.lease)
+    fleet.run(seconds + 12 * fleet.settings.lease_seconds)
     if not fleet.settled():
         raise Breach(
             f"12 leases after the last trouble not every job has an owner: {fleet.owned} at {fleet.now}"
--- a/stepknot/simulation/scale_fleet.py
+++ b/stepknot/simulation/scale_fleet.py
@@ -204,7 +204,7 @@
                 shutil.rmtree(
                     folder, ignore_errors=True
                 )  # of an earlier run, of which nobody is left
-                VoterStore(folder, DEFAULT.fleet, broker.name).found()
+                VoterStore(folder, DEFAULT.fleet, broker.name).bootstrap()
         words(
             f"starting {len(self.boxes)} nodes in {len(self.node_hosts)} processes, {len(self.member_hosts)} "
             f"processes for simulated members, {len(self.brokers)} brokers"
--- a/stepknot/simulation/scale_leases.py
+++ b/stepknot/simulation/scale_leases.py
@@ -7,10 +7,12 @@
 from __future__ import annotations
 
 from stepknot.broker.membership_driver import MembershipDriver
-from stepknot.leases import drains
-from stepknot.leases.model import MARK, Held, OwnerSettings, Saved
-from stepknot.leases.node import Ownership, Work
-from stepknot.leases.voter import Voter
+from stepknot.leases import rolling_drains
+from stepknot.leases.job import JobHandler
+from stepknot.leases.messages import DATAGRAM_MARK, LedgerRecord, VoterState
+from stepknot.leases.node import LeaseNode
+from stepknot.leases.settings import LeaseSettings, ProcessId
+from stepknot.leases.voter import LeaseVoter
 from stepknot.membership.model import State
 from stepknot.net.loop import Loop
 
@@ -26,32 +28,32 @@
     return None
 
 
-def apply(held: Held) -> None:
+def apply(held: LedgerRecord) -> None:
     """There is nothing to apply it to."""
 
 
 class SimulatedOwner:
     def __init__(
-        self, loop: Loop, member: MembershipDriver, settings: OwnerSettings, seed: int
+        self, loop: Loop, member: MembershipDriver, settings: LeaseSettings, seed: int
     ) -> None:
         self.loop, self.member = loop, member
         name = member.protocol.own.name
         voter = (
-            Voter(name, settings, Saved(settings.fleet, name, FIRST_LIFE, {}, []))
+            LeaseVoter(name, settings, VoterState(settings.fleet, name, FIRST_LIFE, {}, []))
             if (name in settings.voters)
             else None
         )
-        self.node = Ownership(
-            (name, seed & (2**62 - 1)),
+        self.node = LeaseNode(
+            ProcessId(name, seed & (2**62 - 1)),
             settings,
             voter,
-            {drains.JOB: Work(idle, refuse, apply)},
+            {rolling_drains.JOB_NAME: JobHandler(idle, refuse, apply)},
             seed,
             self.is_member,
         )
         self.sent = 0  # bytes to others
-        member.others[MARK] = self.on_datagram
-        self.every = TICK * settings.lease
+        member.others[DATAGRAM_MARK] = self.on_datagram
+        self.every = TICK * settings.lease_seconds
         self.timer = loop.call_later(0.0, self.tick)
 
     def is_member(self, name: str) -> bool:
@@ -72,15 +74,15 @@
 
     def carry(self) -> None:
         """What waits for the disk need not: memory has it."""
-        out, _, _ = self.node.take()
-        for to, data, _ in out:
-            if to == self.node.me[0]:
+        for datagram in self.node.take_output().datagrams:
+            to, data = datagram.receiver, datagram.data
+            if to == self.node.process.name:
                 self.loop.call_later(0.0, lambda data=data: self.on_datagram(data))  # type: ignore[misc]
             elif self.member.send_to(to, data):
                 self.sent += len(data)
 
     def owns(self) -> bool:
-        return self.node.jobs[drains.JOB].owner.acting(self.loop.clock())
+        return self.node.jobs[rolling_drains.JOB_NAME].candidate.may_act(self.loop.clock())
 
     def end(self) -> None:
         self.timer.cancel()
--- a/stepknot/simulation/scale_members.py
+++ b/stepknot/simulation/scale_members.py
@@ -25,7 +25,7 @@
 
 from stepknot.broker.membership_driver import MembershipDriver
 from stepknot.config.membership import Peers
-from stepknot.leases.model import OwnerSettings
+from stepknot.leases.settings import LeaseSettings
 from stepknot.membership.model import MembershipSettings, State
 from stepknot.net.datagrams import Datagrams
 from stepknot.net.errors import HttpError
@@ -197,7 +197,7 @@
             self.owners[name] = SimulatedOwner(
                 self.loop,
                 self.members[name],
-                OwnerSettings(tuple(self.spec.voters)),
+                LeaseSettings(tuple(self.spec.voters)),
                 self.loop.rng.getrandbits(62),
             )
 
--- a/tests/leases/test_decisions.py
+++ b/tests/leases/test_decisions.py
@@ -15,29 +15,43 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stepknot.broker.voter_store import MAGIC, Unfit, VoterStore, digest, pack, unpack
+from stepknot.broker.voter_store import (
+    MAGIC,
+    LoadedState,
+    VoterStore,
+    checksum,
+    decode_state,
+    encode_state,
+)
 from stepknot.config.hcl import ConfigError
 from stepknot.config.settings import load
-from stepknot.discovery.drained_endpoints import Drained
+from stepknot.discovery.drained_endpoints import DrainedEndpoints
 from stepknot.interface import ListKind, ListReceived, ServerEntry, ServerState
-from stepknot.leases import drains
-from stepknot.leases import model as m
+from stepknot.leases import messages, rolling_drains
+from stepknot.leases.candidate import LeaseCandidate, Phase
+from stepknot.leases.commands import MAX_COMMANDS
+from stepknot.leases.errors import (
+    CommandRejectedError,
+    DamagedVoterStateError,
+    VoterStateMismatchError,
+)
 from stepknot.leases.fence import Fence
-from stepknot.leases.node import ORDERS, Ownership, Work
-from stepknot.leases.owner import Owner, Phase
-from stepknot.leases.place import order
-from stepknot.leases.quorum import sound
-from stepknot.leases.voter import Voter
+from stepknot.leases.job import JobHandler
+from stepknot.leases.node import LeaseNode
+from stepknot.leases.placement import rank_members
+from stepknot.leases.quorum import valid_voters
+from stepknot.leases.settings import LeaseSettings, ProcessId
+from stepknot.leases.voter import LeaseVoter
 from stepknot.membership.wire import MAX_DATAGRAM_BYTES
 from stepknot.simulation.fleet import settings_text
 
-SETTINGS = m.OwnerSettings(("A", "B", "C"))
-SAVED = m.Saved(
+SETTINGS = LeaseSettings(("A", "B", "C"))
+SAVED = messages.VoterState(
     "stepknot",
     "A",
     3,
     {"A": 3, "B": 1, "C": 2},
-    [m.JobRecord("drains", 7, "b1", 5, m.Held(6, 2, b"xyz"))],
+    [messages.VoterJobState("drains", 7, "b1", 5, messages.LedgerRecord(6, 2, b"xyz"))],
 )
 
 
@@ -48,60 +62,60 @@
     tmp_path: Path,
 ) -> None:
     store = VoterStore(tmp_path, "stepknot", "A")
-    whole = pack(SAVED)
+    whole = encode_state(SAVED)
     for at in range(len(whole)):
         for data in (whole[:at], whole[:at] + bytes([whole[at] ^ 0x20]) + whole[at + 1 :]):
             store.path.write_bytes(data)
-            saved, why = store.load()
-            assert saved is None and why and not store.path.exists()
+            loaded = store.load()
+            assert loaded.state is None and loaded.loss_reason and not store.path.exists()
             assert store.path.with_suffix(".damaged").read_bytes() == data
     store.save(whole)
-    assert store.load() == (SAVED, "")
+    assert store.load() == LoadedState(SAVED)
 
 
 def test_a_write_that_was_cut_short_leaves_the_state_before(tmp_path: Path) -> None:
     store = VoterStore(tmp_path, "stepknot", "A")
-    store.save(pack(SAVED))
+    store.save(encode_state(SAVED))
     store.path.with_suffix(".new").write_bytes(
-        pack(SAVED)[:20]
+        encode_state(SAVED)[:20]
     )  # what a death in the middle leaves
-    assert store.load() == (SAVED, "")
+    assert store.load() == LoadedState(SAVED)
 
 
 @pytest.mark.parametrize(("fleet", "voter"), [("other", "A"), ("stepknot", "B")])
 def test_anothers_state_is_neither_used_nor_put_aside(
     tmp_path: Path, fleet: str, voter: str
 ) -> None:
-    VoterStore(tmp_path, "stepknot", "A").save(pack(SAVED))
+    VoterStore(tmp_path, "stepknot", "A").save(encode_state(SAVED))
     store = VoterStore(tmp_path, fleet, voter)
-    with pytest.raises(Unfit, match="voter A in fleet stepknot"):
+    with pytest.raises(VoterStateMismatchError, match="voter A in fleet stepknot"):
         store.load()
     assert store.path.exists()
 
 
 def test_a_newer_versions_state_is_neither_used_nor_put_aside(tmp_path: Path) -> None:
     store = VoterStore(tmp_path, "stepknot", "A")
-    body = pack(SAVED)[len(MAGIC) + 2 + 16 :]
-    store.path.write_bytes(MAGIC + b"2\n" + digest(b"2\n", body) + body)
-    with pytest.raises(Unfit, match="another version"):
+    body = encode_state(SAVED)[len(MAGIC) + 2 + 16 :]
+    store.path.write_bytes(MAGIC + b"2\n" + checksum(b"2\n", body) + body)
+    with pytest.raises(VoterStateMismatchError, match="another version"):
         store.load()
     assert store.path.exists()
 
 
 def test_a_voter_begins_once(tmp_path: Path) -> None:
     store = VoterStore(tmp_path / "new", "stepknot", "A")
-    store.found()
+    store.bootstrap()
     with pytest.raises(FileExistsError):
-        store.found()
+        store.bootstrap()
     store.path.write_bytes(b"damaged")
     store.load()
     with pytest.raises(FileExistsError):  # what it promised is unknown: it is not to begin anew
-        store.found()
+        store.bootstrap()
 
 
 def test_a_full_disk_is_an_error_and_keeps_the_state_before(tmp_path: Path) -> None:
     store = VoterStore(tmp_path, "stepknot", "A")
-    store.save(pack(SAVED))
+    store.save(encode_state(SAVED))
     code = f"""
         import resource, signal
         from pathlib import Path
@@ -114,131 +128,149 @@
             raise SystemExit(7)
     """
     assert subprocess.run([sys.executable, "-c", textwrap.dedent(code)], timeout=30).returncode == 7
-    assert store.load() == (SAVED, "") and resource.getrlimit(resource.RLIMIT_FSIZE)[0] != 50
+    assert store.load() == LoadedState(SAVED) and resource.getrlimit(resource.RLIMIT_FSIZE)[0] != 50
 
 
 @given(st.binary(max_size=200))
 def test_whatever_stands_on_disk_is_a_state_or_a_word_about_it(data: bytes) -> None:
     with pytest.raises(Exception) as caught:
-        unpack(data)
-    assert type(caught.value).__name__ in ("Damaged", "Unfit")
+        decode_state(data)
+    assert type(caught.value) in (DamagedVoterStateError, VoterStateMismatchError)
 
 
 def test_a_full_state_fits_what_is_read() -> None:
     jobs = [
-        m.JobRecord(
+        messages.VoterJobState(
             "j" * 62 + f"{number:02}",
-            m.MAX_EPOCH - 1,
+            messages.MAX_EPOCH - 1,
             "h" * 64,
             2**62,
-            m.Held(m.MAX_EPOCH - 1, 2**49, bytes(m.MOST_VALUE)),
+            messages.LedgerRecord(messages.MAX_EPOCH - 1, 2**49, bytes(messages.MAX_VALUE_BYTES)),
         )
-        for number in range(m.MOST_JOBS)
+        for number in range(messages.MAX_JOBS)
     ]
-    saved = m.Saved(
+    saved = messages.VoterState(
         "f" * 64, "A", 2**30, {"n" * 63 + f"{number}": 2**30 for number in range(7)}, jobs
     )
-    assert len(pack(saved)) < 100_000 and unpack(pack(saved)) == saved
+    assert len(encode_state(saved)) < 100_000 and decode_state(encode_state(saved)) == saved
 
 
 # --- voters and fences
 
 
 def test_a_voter_takes_no_more_jobs_than_the_bound_and_says_so() -> None:
-    voter = Voter("A", SETTINGS, m.Saved("stepknot", "A", 1, {}, []))
+    voter = LeaseVoter("A", SETTINGS, messages.VoterState("stepknot", "A", 1, {}, []))
     answers = [
-        voter.receive(1.0, ("x", 1), m.Claim(f"job{number}", 1))
-        for number in range(m.MOST_JOBS + 5)
+        voter.receive(1.0, ProcessId("x", 1), messages.PrepareRequest(f"job{number}", 1))
+        for number in range(messages.MAX_JOBS + 5)
     ]
-    assert [type(each).__name__ for each in answers] == ["Granted"] * m.MOST_JOBS + ["Refused"] * 5
-    assert len(voter.jobs) == m.MOST_JOBS
+    assert [type(each).__name__ for each in answers] == ["Promise"] * messages.MAX_JOBS + [
+        "Rejection"
+    ] * 5
+    assert len(voter.jobs) == messages.MAX_JOBS
 
 
 def test_a_voter_that_lost_its_memory_is_silent_until_most_others_told_it() -> None:
-    voter = Voter("A", SETTINGS, None)
+    voter = LeaseVoter("A", SETTINGS, None)
     voter.start(0.0)
-    assert voter.receive(0.0, ("x", 1), m.Claim("j", 5)) is None
-    assert voter.receive(0.0, ("B", 1), m.Recall(2, "")) is None
-    voter.receive(0.0, ("B", 1), m.TellLife(1))
-    voter.receive(0.0, ("C", 1), m.TellLife(4))
-    assert voter.way is not None and voter.way.life == 5
+    assert voter.receive(0.0, ProcessId("x", 1), messages.PrepareRequest("j", 5)) is None
+    assert voter.receive(0.0, ProcessId("B", 1), messages.RecoveryRequest(2, "")) is None
+    voter.receive(0.0, ProcessId("B", 1), messages.IncarnationReply(1))
+    voter.receive(0.0, ProcessId("C", 1), messages.IncarnationReply(4))
+    assert voter.recovery is not None and voter.recovery.incarnation == 5
     for name in ("B", "C"):
         voter.receive(
-            0.1, (name, 1), m.Recalled(5, "", m.JobRecord("j", 8, "x", 1, m.Held(8, 2, b"v")))
+            0.1,
+            ProcessId(name, 1),
+            messages.RecoveryReply(
+                5, "", messages.VoterJobState("j", 8, "x", 1, messages.LedgerRecord(8, 2, b"v"))
+            ),
         )
-        assert voter.way is not None  # one of the others is not enough
-        voter.receive(0.1, (name, 1), m.Recalled(5, "j", None))
-    assert voter.way is None and voter.life == 5 and voter.unsaved
-    early = voter.receive(0.2, ("y", 1), m.Claim("j", 9))
-    assert isinstance(early, m.Refused) and early.wait >= 1900  # a lease has to pass first
-    late = voter.receive(0.2 + SETTINGS.hold, ("y", 1), m.Claim("j", 9))
-    assert isinstance(late, m.Granted) and late.held == m.Held(8, 2, b"v")
+        assert voter.recovery is not None  # one of the others is not enough
+        voter.receive(0.1, ProcessId(name, 1), messages.RecoveryReply(5, "j", None))
+    assert voter.recovery is None and voter.incarnation == 5 and voter.unsaved
+    early = voter.receive(0.2, ProcessId("y", 1), messages.PrepareRequest("j", 9))
+    assert (
+        isinstance(early, messages.Rejection) and early.retry_after_ms >= 1900
+    )  # a lease has to pass first
+    late = voter.receive(
+        0.2 + SETTINGS.voter_lease_seconds, ProcessId("y", 1), messages.PrepareRequest("j", 9)
+    )
+    assert isinstance(late, messages.Promise) and late.record == messages.LedgerRecord(8, 2, b"v")
 
 
 def test_a_late_grant_with_a_later_record_ends_the_epoch() -> None:
-    owner = Owner("j", ("x", 1), SETTINGS, 1)
-    owner.claim(0.0)
+    candidate = LeaseCandidate("j", ProcessId("x", 1), SETTINGS, 1)
+    candidate.start_election(0.0)
     for voter in ("A", "B"):
-        owner.receive(0.1, voter, m.Granted("j", 1, 1, {}, m.Held()))
-    assert owner.phase is Phase.OWNING
-    owner.receive(0.2, "C", m.Granted("j", 1, 1, {}, m.Held(0, 9, b"later")))
-    assert owner.phase is Phase.IDLE and "C holds a later record" in owner.why
+        candidate.receive(0.1, voter, messages.Promise("j", 1, 1, {}, messages.LedgerRecord()))
+    assert candidate.phase is Phase.HOLDING
+    candidate.receive(
+        0.2, "C", messages.Promise("j", 1, 1, {}, messages.LedgerRecord(0, 9, b"later"))
+    )
+    assert candidate.phase is Phase.IDLE and "C holds a later record" in candidate.reason
 
 
 def test_one_refusal_does_not_end_a_claim_that_a_majority_may_grant() -> None:
-    owner = Owner("j", ("x", 1), SETTINGS, 1)
-    owner.claim(0.0)
-    owner.receive(0.1, "A", m.Refused("j", 1, 0, 2000, "its start"))
-    assert owner.phase is Phase.CLAIMING
+    candidate = LeaseCandidate("j", ProcessId("x", 1), SETTINGS, 1)
+    candidate.start_election(0.0)
+    candidate.receive(0.1, "A", messages.Rejection("j", 1, 0, 2000, "its start"))
+    assert candidate.phase is Phase.ELECTING
     for voter in ("B", "C"):
-        owner.receive(0.1, voter, m.Granted("j", 1, 1, {}, m.Held()))
-    assert owner.phase is Phase.OWNING
+        candidate.receive(0.1, voter, messages.Promise("j", 1, 1, {}, messages.LedgerRecord()))
+    assert candidate.phase is Phase.HOLDING
 
 
 def test_a_claim_that_no_majority_can_grant_ends_at_once_and_waits_until_one_would() -> None:
-    owner = Owner("j", ("x", 1), SETTINGS, 1)
-    owner.claim(0.0)
-    owner.receive(0.1, "A", m.Refused("j", 1, 0, 9000, "a lease runs"))
-    owner.receive(0.1, "B", m.Refused("j", 1, 0, 1500, "a lease runs"))
-    assert owner.phase is Phase.IDLE and 1.6 <= owner.next_claim <= 3.0
-    assert ("C", m.Yield("j", 1)) in owner.out
+    candidate = LeaseCandidate("j", ProcessId("x", 1), SETTINGS, 1)
+    candidate.start_election(0.0)
+    candidate.receive(0.1, "A", messages.Rejection("j", 1, 0, 9000, "a lease runs"))
+    candidate.receive(0.1, "B", messages.Rejection("j", 1, 0, 1500, "a lease runs"))
+    assert candidate.phase is Phase.IDLE and 1.6 <= candidate.backoff.next_election_at <= 3.0
+    assert ("C", messages.ReleaseNotice("j", 1)) in candidate.outbox
 
 
-def holds(version: tuple[int, int], committed: int = 0, life: int = 1, **lives: int) -> m.Holds:
-    return m.Holds("j", life, lives, m.Held(*version, b"v"), committed)
+def holds(
+    version: tuple[int, int], committed: int = 0, life: int = 1, **lives: int
+) -> messages.RecordReport:
+    return messages.RecordReport("j", life, lives, messages.LedgerRecord(*version, b"v"), committed)
 
 
 def test_a_fence_takes_nothing_before_a_majority_told_and_nothing_older_after() -> None:
     fence = Fence(2)
-    assert not fence.hear("A", holds((3, 4), 4)) and not fence.ready
-    assert fence.hear("B", holds((3, 2), 2)) and fence.newest == m.Held(3, 4, b"v")
+    assert not fence.record_report("A", holds((3, 4), 4)) and not fence.ready
+    assert fence.record_report("B", holds((3, 2), 2)) and fence.newest == messages.LedgerRecord(
+        3, 4, b"v"
+    )
     assert (
-        not fence.admit(m.Held(3, 4, b"v"))
-        and not fence.admit(m.Held(2, 9, b"v"))
-        and fence.refused == 1
+        not fence.admit(messages.LedgerRecord(3, 4, b"v"))
+        and not fence.admit(messages.LedgerRecord(2, 9, b"v"))
+        and fence.rejected_count == 1
     )
-    assert fence.admit(m.Held(4, 1, b"v"))
+    assert fence.admit(messages.LedgerRecord(4, 1, b"v"))
 
 
 def test_a_fence_waits_where_the_newest_may_or_may_not_count() -> None:
     fence = Fence(2)
-    fence.hear("A", holds((3, 5), 4))
+    fence.record_report("A", holds((3, 5), 4))
     assert (
-        not fence.hear("B", holds((3, 4), 4)) and not fence.ready
+        not fence.record_report("B", holds((3, 4), 4)) and not fence.ready
     )  # one before may have taken (3, 5)
-    assert fence.hear("C", holds((3, 5), 4)) and fence.newest == m.Held(3, 5, b"v")
+    assert fence.record_report("C", holds((3, 5), 4)) and fence.newest == messages.LedgerRecord(
+        3, 5, b"v"
+    )
 
 
 def test_an_answer_from_before_a_memory_was_lost_does_not_count() -> None:
-    assert sound(
+    assert valid_voters(
         {"A": holds((1, 1), life=1), "B": holds((1, 1), A=2), "C": holds((1, 1), A=1)}
     ) == ["B", "C"]
 
 
 def test_jobs_spread_and_a_member_more_moves_only_its_own() -> None:
     names = [f"b{number}" for number in range(10)]
-    first = {f"job{number}": order(f"job{number}", names)[0] for number in range(300)}
-    after = {job: order(job, [*names, "b10"])[0] for job in first}
+    first = {f"job{number}": rank_members(f"job{number}", names)[0] for number in range(300)}
+    after = {job: rank_members(job, [*names, "b10"])[0] for job in first}
     moved = [job for job in first if after[job] != first[job]]
     assert all(after[job] == "b10" for job in moved) and 10 <= len(moved) <= 50
     assert max(list(first.values()).count(name) for name in names) <= 60
@@ -247,12 +279,12 @@
 # --- datagrams
 
 
-def node(**works: Work) -> Ownership:
-    idle = Work(lambda now, value: None, lambda value, number, body: value, lambda held: None)
-    return Ownership(
-        ("A", 1),
+def node(**works: JobHandler) -> LeaseNode:
+    idle = JobHandler(lambda now, value: None, lambda value, number, body: value, lambda held: None)
+    return LeaseNode(
+        ProcessId("A", 1),
         SETTINGS,
-        Voter("A", SETTINGS, m.Saved("stepknot", "A", 1, {}, [])),
+        LeaseVoter("A", SETTINGS, messages.VoterState("stepknot", "A", 1, {}, [])),
         works or {"j": idle},
         1,
         lambda name: True,
@@ -261,7 +293,7 @@
 
 def test_what_is_absurd_is_counted_and_changes_nothing() -> None:
     found, chance = node(), random.Random(1)
-    good = m.encode("stepknot", ("x", 1), m.Claim("j", 1))
+    good = messages.encode("stepknot", ProcessId("x", 1), messages.PrepareRequest("j", 1))
     bad = {
         "too long": [bytes(1201)],
         "malformed": [
@@ -272,14 +304,16 @@
             chance.randbytes(80),
             good.replace(b"j", b""),
         ],
-        "another fleet": [m.encode("other", ("x", 1), m.Claim("j", 1))],
+        "another fleet": [
+            messages.encode("other", ProcessId("x", 1), messages.PrepareRequest("j", 1))
+        ],
         "another version": [good.replace(bytes([0x95, 1]), bytes([0x95, 2]), 1)],
     }
     for reason, datagrams in bad.items():
         for data in datagrams:
             found.receive(1.0, data)
         assert found.counters[f"dropped: {reason}"] == len(datagrams), reason
-    assert found.voter is not None and not found.voter.jobs and not found.take()[0]
+    assert found.voter is not None and not found.voter.jobs and not found.take_output().datagrams
     found.receive(1.0, good)
     assert "j" in found.voter.jobs
 
@@ -291,58 +325,66 @@
         for _ in range(300):
             now += chance.choice([0.0, 0.05, 0.5, 3.0])
             one, two = chance.randrange(6), chance.randrange(4)
-            held = m.Held(
+            held = messages.LedgerRecord(
                 chance.randrange(6), chance.randrange(4), chance.randbytes(chance.randrange(9))
             )
             job, lives = chance.choice(["j", "other"]), {chance.choice("ABC"): chance.randrange(3)}
             message = chance.choice(
                 [
-                    m.Claim(job, one, two),
-                    m.Granted(job, one, two, lives, held),
-                    m.Refused(job, one, two, 50, "no"),
-                    m.Renew(job, one, two, 1),
-                    m.Renewed(job, one, two, 1, lives),
-                    m.Write(job, two, held),
-                    m.Written(job, one, two, 1, lives),
-                    m.Yield(job, one),
-                    m.Offer(job, one),
-                    m.Told(job, one, two, chance.choice([None, b"v"])),
-                    m.Ask(job),
-                    m.Holds(job, two, lives, held, two),
-                    m.AskLife(),
-                    m.TellLife(two),
-                    m.Recall(two, ""),
-                    m.Recalled(two, "", m.JobRecord(job, one, "x", 1, held)),
-                    m.Order(job, "n", b"body"),
-                    m.Answered(job, "n", "no"),
+                    messages.PrepareRequest(job, one, two),
+                    messages.Promise(job, one, two, lives, held),
+                    messages.Rejection(job, one, two, 50, "no"),
+                    messages.RenewRequest(job, one, two, 1),
+                    messages.RenewReply(job, one, two, 1, lives),
+                    messages.AcceptRequest(job, two, held),
+                    messages.Accepted(job, one, two, 1, lives),
+                    messages.ReleaseNotice(job, one),
+                    messages.HandoverOffer(job, one),
+                    messages.CommitNotice(job, one, two, chance.choice([None, b"v"])),
+                    messages.RecordQuery(job),
+                    messages.RecordReport(job, two, lives, held, two),
+                    messages.IncarnationQuery(),
+                    messages.IncarnationReply(two),
+                    messages.RecoveryRequest(two, ""),
+                    messages.RecoveryReply(two, "", messages.VoterJobState(job, one, "x", 1, held)),
+                    messages.CommandRequest(job, "n", b"body"),
+                    messages.CommandReply(job, "n", "no"),
                 ]
             )
             found.receive(
-                now, m.encode("stepknot", (chance.choice("ABCxy"), chance.randrange(3)), message)
+                now,
+                messages.encode(
+                    "stepknot", ProcessId(chance.choice("ABCxy"), chance.randrange(3)), message
+                ),
             )
             found.tick(now, ["A", "B", "x"])
-            assert all(len(data) <= MAX_DATAGRAM_BYTES for _, data, _ in found.take()[0])
+            assert all(
+                len(each.data) <= MAX_DATAGRAM_BYTES for each in found.take_output().datagrams
+            )
 
 
 def test_orders_are_bounded_and_end_in_time() -> None:
     found = node()
-    for number in range(ORDERS):
-        found.ask_for(0.0, "j", f"n{number}", b"x")
+    for number in range(MAX_COMMANDS):
+        found.submit_command(0.0, "j", f"n{number}", b"x")
     with pytest.raises(ValueError, match="wait already"):
-        found.ask_for(0.0, "j", "one more", b"x")
+        found.submit_command(0.0, "j", "one more", b"x")
     with pytest.raises(ValueError, match="no job"):
-        found.ask_for(0.0, "k" * 10_000, "n", b"x")
+        found.submit_command(0.0, "k" * 10_000, "n", b"x")
     with pytest.raises(ValueError, match="900 at the most"):
-        found.ask_for(0.0, "j", "n", bytes(901))
-    found.ask_orders(100.0)
-    assert "no owner" in str(found.taken("n0")) and found.taken("n0") is None
+        found.submit_command(0.0, "j", "n", bytes(901))
+    found.tick(100.0, ["A"])
+    assert (
+        "no owner" in str(found.take_command_answer("n0"))
+        and found.take_command_answer("n0") is None
+    )
 
 
 # --- drains
 
 
-def box(zone: str, cell: int, live: bool = True) -> drains.Box:
-    return drains.Box(zone, cell, live)
+def box(zone: str, cell: int, live: bool = True) -> rolling_drains.DrainNode:
+    return rolling_drains.DrainNode(zone, cell, live)
 
 
 BOXES = {f"a{cell}": box("a", cell) for cell in range(4)} | {
@@ -351,9 +393,12 @@
 
 
 def ordered(
-    state: drains.State, number: str, boxes: drains.Boxes = BOXES, **word: Any
-) -> drains.State:
-    return drains.ordered(state, number, msgspec.json.encode(word), boxes)
+    state: rolling_drains.DrainState,
+    number: str,
+    boxes: rolling_drains.DrainNodes = BOXES,
+    **word: Any,
+) -> rolling_drains.DrainState:
+    return rolling_drains.apply_command(state, number, msgspec.json.encode(word), boxes)
 
 
 @settings(max_examples=200, deadline=None)
@@ -367,7 +412,7 @@
     at_most: int, events: list[str]
 ) -> None:
     boxes = dict(BOXES)
-    state = ordered(drains.State(), "1", drain={"zone": "a", "at_most": at_most})
+    state = ordered(rolling_drains.DrainState(), "1", drain={"zone": "a", "at_most": at_most})
     gone: list[str] = []
     for event in [*events, *["step"] * 30]:
         if event == "lose":
@@ -375,33 +420,38 @@
         elif event == "join":
             boxes["a9"] = box("a", 1)
         elif event == "new owner":
-            state = drains.read(drains.pack(state))
+            state = rolling_drains.decode_state(rolling_drains.encode_state(state))
         else:
-            after = drains.next_step(state, boxes, 0.0)
+            after = rolling_drains.next_state(state, boxes, 0.0)
             if after is not None:
-                assert len(after.out) <= at_most and len(set(after.out) ^ set(state.out)) <= 1
-                gone += [each for each in after.out if each not in state.out]
+                assert (
+                    len(after.drained) <= at_most
+                    and len(set(after.drained) ^ set(state.drained)) <= 1
+                )
+                gone += [each for each in after.drained if each not in state.drained]
                 state = after
-    assert state.status == "done" and not state.out and gone == sorted(set(gone))
+    assert state.status == "done" and not state.drained and gone == sorted(set(gone))
     assert {"a0", "a1", "a3"} <= set(gone) <= {"a0", "a1", "a2", "a3", "a9"}
 
 
 def test_an_order_said_twice_is_taken_once() -> None:
-    first = ordered(drains.State(), "1", drain={"zone": "a"})
+    first = ordered(rolling_drains.DrainState(), "1", drain={"zone": "a"})
     assert ordered(first, "1", drain={"zone": "a"}) is first
-    with pytest.raises(drains.Refused, match="is running"):
+    with pytest.raises(CommandRejectedError, match="is running"):
         ordered(first, "2", drain={"zone": "b"})
 
 
 def test_only_an_order_that_begins_a_drain_makes_its_first_step_due() -> None:
-    begun = ordered(drains.State(), "1", drain={"zone": "a"})
-    assert drains.begins(drains.State(), begun)
-    assert not drains.begins(begun, ordered(begun, "1", drain={"zone": "a"}))  # said again
+    begun = ordered(rolling_drains.DrainState(), "1", drain={"zone": "a"})
+    assert rolling_drains.begins_drain(rolling_drains.DrainState(), begun)
+    assert not rolling_drains.begins_drain(
+        begun, ordered(begun, "1", drain={"zone": "a"})
+    )  # said again
     stopped = ordered(begun, "2", stop=True)
-    assert not drains.begins(begun, stopped) and not drains.begins(
+    assert not rolling_drains.begins_drain(begun, stopped) and not rolling_drains.begins_drain(
         stopped, ordered(stopped, "3", go_on=True)
     )
-    assert not drains.begins(begun, ordered(begun, "2", undo=True))
+    assert not rolling_drains.begins_drain(begun, ordered(begun, "2", undo=True))
 
 
 @pytest.mark.parametrize(
@@ -418,42 +468,57 @@
 def test_an_order_that_makes_no_sense_is_refused_with_the_reason(
     word: dict[str, Any], reason: str
 ) -> None:
-    with pytest.raises(drains.Refused, match=reason):
-        ordered(drains.State(), "1", **word)
+    with pytest.raises(CommandRejectedError, match=reason):
+        ordered(rolling_drains.DrainState(), "1", **word)
 
 
 def test_the_last_box_of_a_cell_goes_with_force_only_and_one_that_became_it_halts_the_drain() -> (
     None
 ):
     few = {name: each for name, each in BOXES.items() if name != "b1"}
-    with pytest.raises(drains.Refused, match="a1 is the last box of cell 1"):
-        ordered(drains.State(), "1", few, drain={"zone": "a"})
-    forced = ordered(drains.State(), "1", few, drain={"zone": "a", "force": True})
+    with pytest.raises(CommandRejectedError, match="a1 is the last box of cell 1"):
+        ordered(rolling_drains.DrainState(), "1", few, drain={"zone": "a"})
+    forced = ordered(rolling_drains.DrainState(), "1", few, drain={"zone": "a", "force": True})
     assert forced.status == "running"
-    state = ordered(drains.State(), "1", drain={"zone": "a"})
+    state = ordered(rolling_drains.DrainState(), "1", drain={"zone": "a"})
     for _ in range(3):
-        state = drains.next_step(state, few, 0.0) or state
-    assert state.status == "halted" and "a1 is the last box" in state.why and not state.out
-    assert (drains.next_step(state, BOXES, 0.0) or state).out == ["a1"]
+        state = rolling_drains.next_state(state, few, 0.0) or state
+    assert state.status == "halted" and "a1 is the last box" in state.reason and not state.drained
+    assert (rolling_drains.next_state(state, BOXES, 0.0) or state).drained == ["a1"]
 
 
 def test_failing_queries_halt_it_and_it_goes_on_when_they_do_not() -> None:
-    state = ordered(drains.State(), "1", drain={"zone": "a", "failing": 0.02})
-    halted = drains.next_step(state, BOXES, 0.05)
-    assert halted is not None and halted.status == "halted" and "5.0% of queries fail" in halted.why
-    assert drains.next_step(halted, BOXES, 0.05) is None
-    again = drains.next_step(halted, BOXES, 0.01)
-    assert again is not None and again.status == "running" and again.out == ["a0"]
+    state = ordered(rolling_drains.DrainState(), "1", drain={"zone": "a", "failing": 0.02})
+    halted = rolling_drains.next_state(state, BOXES, 0.05)
+    assert (
+        halted is not None and halted.status == "halted" and "5.0% of queries fail" in halted.reason
+    )
+    assert rolling_drains.next_state(halted, BOXES, 0.05) is None
+    again = rolling_drains.next_state(halted, BOXES, 0.01)
+    assert again is not None and again.status == "running" and again.drained == ["a0"]
 
 
 def test_the_longest_record_fits_the_ledger_or_is_refused() -> None:
-    out = [f"255.255.255.{number:03}:65535" for number in range(drains.MOST_OUT)]
-    state = drains.State(
-        drains.Drain("z" * 64, 16), "running", out[-1], out, 10**6, "w" * 120, ["n" * 32] * 8
+    out = [f"255.255.255.{number:03}:65535" for number in range(rolling_drains.MAX_DRAINED)]
+    state = rolling_drains.DrainState(
+        rolling_drains.DrainPlan("z" * 64, 16),
+        "running",
+        out[-1],
+        out,
+        10**6,
+        "w" * 120,
+        ["n" * 32] * 8,
+    )
+    with pytest.raises(CommandRejectedError, match="fewer boxes at once"):
+        rolling_drains.encode_state(msgspec.structs.replace(state, drained=["x" * 64] * 16))
+    assert (
+        len(
+            rolling_drains.encode_state(
+                msgspec.structs.replace(state, command_numbers=["n" * 16] * 8)
+            )
+        )
+        <= messages.MAX_VALUE_BYTES
     )
-    with pytest.raises(drains.Refused, match="fewer boxes at once"):
-        drains.pack(msgspec.structs.replace(state, out=["x" * 64] * 16))
-    assert len(drains.pack(msgspec.structs.replace(state, orders=["n" * 16] * 8))) <= m.MOST_VALUE
 
 
 def entry(name: str, state: ServerState = ServerState.LIVE) -> ServerEntry:
@@ -462,22 +527,22 @@
 
 def test_the_ledgers_drains_lie_over_the_list_and_what_it_says_gone_stays_gone() -> None:
     heard: list[tuple[str, str]] = []
-    listed = Drained(
+    listed = DrainedEndpoints(
         lambda event: heard.extend((each.server, each.state.value) for each in event.entries)
     )
-    listed.set_out(["y"])  # before the first list
-    listed.take(
+    listed.set_drained(["y"])  # before the first list
+    listed.receive_list(
         ListReceived(ListKind.FULL, (entry("x"), entry("y"), entry("z", ServerState.DRAINING)))
     )
     assert heard == [("x", "live"), ("y", "draining"), ("z", "draining")]
     heard.clear()
-    listed.set_out(["x", "z"])
+    listed.set_drained(["x", "z"])
     assert heard == [("x", "draining"), ("y", "live"), ("z", "draining")]
     heard.clear()
-    listed.take(ListReceived(ListKind.CHANGES, (entry("x", ServerState.GONE),)))
-    listed.set_out([])
+    listed.receive_list(ListReceived(ListKind.CHANGES, (entry("x", ServerState.GONE),)))
+    listed.set_drained([])
     assert heard == [("x", "gone"), ("z", "draining")]
-    listed.take(ListReceived(ListKind.CHANGES, (entry("x"),)))
+    listed.receive_list(ListReceived(ListKind.CHANGES, (entry("x"),)))
     assert heard[-1] == ("x", "live")
 
 
@@ -498,9 +563,9 @@
 def test_the_block_is_read_and_only_a_voter_has_a_folder(tmp_path: Path) -> None:
     block = '  voters = ["b0", "b1", "b2"]\n  state = "votes"\n  lease = "3s"\n  drift = 0.1'
     found = config(tmp_path, block).owners
-    assert found.state == tmp_path / "votes" and found.settings.lease == 3.0
-    assert found.settings.hold > found.settings.own
-    assert config(tmp_path, block, name="b7").owners.state is None
+    assert found.state_folder == tmp_path / "votes" and found.settings.lease_seconds == 3.0
+    assert found.settings.voter_lease_seconds > found.settings.holder_lease_seconds
+    assert config(tmp_path, block, name="b7").owners.state_folder is None
     assert config(tmp_path, block + "\n  enabled = false").owners is None
 
 
--- a/tests/leases/test_model.py
+++ b/tests/leases/test_model.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from stepknot.leases.voter import Voter
+from stepknot.leases.voter import LeaseVoter
 from stepknot.simulation.lease_model import Breach, Fleet, random_day
 
 pytestmark = pytest.mark.cpu_only
@@ -28,13 +28,13 @@
     assert overlaps > 0
 
 
-class GrantsToAnybody(Voter):
+class GrantsToAnybody(LeaseVoter):
     """No lease holds anybody back."""
 
-    def on_claim(self, now, who, claim):  # type: ignore[no-untyped-def]
+    def on_prepare(self, now, sender, request):  # type: ignore[no-untyped-def]
         for job in self.jobs.values():
-            job.until = self.votes_from = -1.0
-        return super().on_claim(now, who, claim)
+            job.lease_expires_at = self.votes_from = -1.0
+        return super().on_prepare(now, sender, request)
 
 
 def test_a_voter_that_heeds_no_lease_is_found() -> None:
@@ -58,7 +58,7 @@
     return next(
         name
         for name, each in fleet.processes.items()
-        if each.node.jobs[job].owner.acting(fleet.clock(each))
+        if each.node.jobs[job].candidate.may_act(fleet.clock(each))
     )
 
 
@@ -79,7 +79,7 @@
         fleet.longest = 0.0
         fleet.kill(owner_of(fleet, "job0"))
         fleet.run(fleet.now + 8.0)
-        assert owner_of(fleet, "job0") and fleet.longest < 2.5 * fleet.settings.lease
+        assert owner_of(fleet, "job0") and fleet.longest < 2.5 * fleet.settings.lease_seconds
 
 
 def test_a_job_that_is_handed_over_is_owned_again_within_fifty_milliseconds() -> None:
@@ -97,12 +97,13 @@
     fleet = ready()
     for name in fleet.settings.voters[:3]:
         fleet.kill(name)
-    fleet.run(fleet.now + 2 * fleet.settings.lease)
+    fleet.run(fleet.now + 2 * fleet.settings.lease_seconds)
     assert not any(
-        each.node.jobs["job0"].owner.acting(fleet.clock(each)) for each in fleet.processes.values()
+        each.node.jobs["job0"].candidate.may_act(fleet.clock(each))
+        for each in fleet.processes.values()
     )
     fleet.start(fleet.settings.voters[0])
-    fleet.run(fleet.now + 4 * fleet.settings.lease)
+    fleet.run(fleet.now + 4 * fleet.settings.lease_seconds)
     assert owner_of(fleet, "job0")
 
 
@@ -111,10 +112,11 @@
     for name in fleet.settings.voters[:3]:
         fleet.kill(name, disk=False)
         fleet.start(name)
-    fleet.run(fleet.now + 20 * fleet.settings.lease)
+    fleet.run(fleet.now + 20 * fleet.settings.lease_seconds)
     assert not any(
-        each.node.jobs["job0"].owner.acting(fleet.clock(each)) for each in fleet.processes.values()
+        each.node.jobs["job0"].candidate.may_act(fleet.clock(each))
+        for each in fleet.processes.values()
     )
     assert all(
-        fleet.processes[name].node.voter.way is not None for name in fleet.settings.voters[:3]
+        fleet.processes[name].node.voter.recovery is not None for name in fleet.settings.voters[:3]
     )  # type: ignore
--- a/tests/leases/test_model_checker.py
+++ b/tests/leases/test_model_checker.py
@@ -6,24 +6,15 @@
 from typing import Any
 from unittest.mock import patch
 
+import msgspec
 import pytest
 
-from stepknot.leases import model as m
-from stepknot.leases import owner as owner_module
-from stepknot.leases.owner import Owner, Phase
-from stepknot.leases.voter import Voter, Way
-from stepknot.simulation.lease_model_checker import (
-    Breach,
-    Parts,
-    Result,
-    Scope,
-    World,
-    explore,
-    phases,
-    replay,
-    story,
-    walk,
-)
+from stepknot.leases import messages, quorum
+from stepknot.leases.candidate import LeaseCandidate, Phase
+from stepknot.leases.settings import LeaseSettings, ProcessId
+from stepknot.leases.voter import LeaseVoter
+from stepknot.simulation.lease_model_checker import Result, explore, phases, replay, story, walk
+from stepknot.simulation.lease_model_world import Breach, Parts, Scope, World
 
 pytestmark = pytest.mark.cpu_only
 
@@ -34,111 +25,131 @@
 WALKS, PHASED = 1200, 2500  # of the sound one; each defect is found within as many
 
 
-class GrantsAnEpochTwice(Voter):
-    def on_claim(self, now: float, who: m.Process, claim: m.Claim) -> m.Message:
-        job = self.jobs.get(claim.job)
-        if job is not None and claim.epoch == job.promised:
-            job.holder = who
-        return super().on_claim(now, who, claim)
+class PromisesAnEpochTwice(LeaseVoter):
+    """Violates invariant 1."""
+
+    def on_prepare(
+        self, now: float, sender: ProcessId, request: messages.PrepareRequest
+    ) -> messages.Message:
+        job = self.jobs.get(request.job)
+        if job is not None and request.epoch == job.promised_epoch:
+            job.holder = sender
+        return super().on_prepare(now, sender, request)
+
 
+class VotesWithoutItsState(LeaseVoter):
+    """Violates invariant 5."""
 
-class VotesAtOnceWithNoMemory(Voter):
-    def __init__(self, name: str, settings: m.OwnerSettings, saved: m.Saved | None) -> None:
-        super().__init__(name, settings, saved)
-        if saved is None:
-            self.way, self.life = None, 1
+    def __init__(
+        self, name: str, settings: LeaseSettings, stored: messages.VoterState | None
+    ) -> None:
+        super().__init__(name, settings, stored)
+        if stored is None:
+            self.recovery, self.incarnation = None, 1
 
 
-class KeepsItsLife(Voter):
-    """What it lost is not told apart from what it holds now."""
+class KeepsItsIncarnation(LeaseVoter):
+    """Violates invariant 3: replies from before the loss are not told apart from later ones."""
 
-    def on_tell_life(self, now: float, who: m.Process, told: m.TellLife) -> None:
-        super().on_tell_life(now, who, told)
-        if self.way is not None and self.way.life:
-            self.way.life = max(self.way.lives.values())
+    def on_incarnation_reply(
+        self, now: float, sender: ProcessId, reply: messages.IncarnationReply
+    ) -> None:
+        super().on_incarnation_reply(now, sender, reply)
+        if self.recovery is not None and self.recovery.incarnation:
+            self.recovery.incarnation = max(self.recovery.known_incarnations.values())
 
 
-class AcceptsAnEarlierEpoch(Voter):
-    def on_write(self, now: float, who: m.Process, write: m.Write) -> m.Message | None:
-        job = self.jobs.get(write.job)
+class AcceptsAnEarlierEpoch(LeaseVoter):
+    """Violates invariant 4."""
+
+    def on_accept(self, sender: ProcessId, request: messages.AcceptRequest) -> messages.Message:
+        job = self.jobs.get(request.job)
         if job is None:
-            return None
-        kept, job.promised, job.holder = (job.promised, job.holder), write.held.epoch, who
-        found = super().on_write(now, who, write)
-        job.promised, job.holder = kept
+            return super().on_accept(sender, request)
+        kept = job.promised_epoch, job.holder
+        job.promised_epoch, job.holder = request.record.epoch, sender
+        found = super().on_accept(sender, request)
+        job.promised_epoch, job.holder = kept
         return found
 
 
-class ForgetsWhatItIsTold(Voter):
-    """On its way back it reads promises and no records."""
+class ForgetsRecordsOfItsRecovery(LeaseVoter):
+    """Violates invariant 5: it takes over promises and no records."""
 
-    def learn(self, told: m.JobRecord) -> None:
-        super().learn(m.JobRecord(told.job, told.promised, told.holder, told.birth, m.Held()))
+    def merge_state(self, state: messages.VoterJobState) -> None:
+        super().merge_state(msgspec.structs.replace(state, record=messages.NO_RECORD))
 
 
-class ReadsNobody(Voter):
-    """Its way back ends with the first answer."""
+class RecoversFromOneVoter(LeaseVoter):
+    """Violates invariant 5: its recovery ends with the first reply."""
 
-    def on_recalled(self, now: float, who: m.Process, told: m.Recalled) -> None:
-        if isinstance(self.way, Way):
-            self.way.done |= set(self.others) - {who[0]}
-        super().on_recalled(now, who, told)
+    def on_recovery_reply(
+        self, now: float, sender: ProcessId, reply: messages.RecoveryReply
+    ) -> None:
+        if self.recovery is not None:
+            self.recovery.finished_voters |= set(self.other_voters) - {sender.name}
+        super().on_recovery_reply(now, sender, reply)
 
 
-class GrantsDuringALease(Voter):
-    def on_claim(self, now: float, who: m.Process, claim: m.Claim) -> m.Message:
-        job = self.jobs.get(claim.job)
+class PromisesDuringALease(LeaseVoter):
+    def on_prepare(
+        self, now: float, sender: ProcessId, request: messages.PrepareRequest
+    ) -> messages.Message:
+        job = self.jobs.get(request.job)
         if job is not None:
-            job.until = -1.0
-        return super().on_claim(now, who, claim)
+            job.lease_expires_at = -1.0
+        return super().on_prepare(now, sender, request)
 
 
-class VotesRightAfterItsStart(Voter):
+class VotesRightAfterItsStart(LeaseVoter):
     def start(self, now: float) -> None:
         self.votes_from = now
 
 
-class CountsFromTheGrant(Owner):
-    """The lease is counted from when the last grant came in."""
+class CountsTheLeaseFromThePromise(LeaseCandidate):
+    """The lease is counted from when the last promise came in."""
 
-    def on_granted(self, now: float, voter: str, grant: m.Granted) -> None:
-        self.claimed_at = now
-        super().on_granted(now, voter, grant)
+    def on_promise(self, now: float, voter: str, promise: messages.Promise) -> None:
+        self.election.started_at = now
+        super().on_promise(now, voter, promise)
 
 
-class CountsRenewalsFromTheAnswer(Owner):
-    def on_renewed(self, now: float, voter: str, renewed: m.Renewed) -> None:
-        if renewed.number in self.numbers:
-            self.numbers[renewed.number] = now, self.numbers[renewed.number][1]
-        super().on_renewed(now, voter, renewed)
+class CountsRenewalsFromTheReply(LeaseCandidate):
+    def receive(self, now: float, voter: str, message: messages.Message) -> None:
+        if isinstance(message, messages.RenewReply) and message.number in self.renewal.rounds:
+            self.renewal.rounds[message.number].sent_at = now
+        super().receive(now, voter, message)
 
 
-class OffersBeforeItStops(Owner):
-    def hand_over(self, now: float, to: str | None, why: str) -> None:
-        if self.phase is Phase.OWNING and to is not None:
-            self.send(m.Yield(self.job, self.epoch), self.settings.voters)
-            self.send(m.Offer(self.job, self.epoch), (to,))
+class OffersBeforeItStops(LeaseCandidate):
+    def hand_over(self, now: float, successor: str | None, reason: str) -> None:
+        if self.phase is Phase.HOLDING and successor is not None:
+            self.send(messages.ReleaseNotice(self.job, self.epoch), self.settings.voters)
+            self.send(messages.HandoverOffer(self.job, self.epoch), (successor,))
 
 
-class DoesNotWriteAnew(Owner):
-    """What the last owner left counts as it stands."""
+class DoesNotCommitTheBaseAnew(LeaseCandidate):
+    """Violates invariant 4: what the last lease holder left counts as it stands."""
 
     def propose(self, now: float, value: bytes) -> None:
-        if self.step == 0:
-            self.step = 1
-            self.committed = m.Held(self.epoch, 1, value)
+        if self.replication.step == 0:
+            self.replication.step = 1
+            self.replication.committed = messages.LedgerRecord(self.epoch, 1, value)
         else:
             super().propose(now, value)
 
 
-class CountsAtTheFirstAnswer(Owner):
-    def on_written(self, now: float, voter: str, written: m.Written) -> None:
-        super().on_written(now, voter, written)
-        if self.pending is not None and self.pending.acks:
-            self.committed, self.pending = self.pending.held, None
+class CommitsAtTheFirstAck(LeaseCandidate):
+    """Violates invariant 4."""
+
+    def on_accepted(self, now: float, voter: str, ack: messages.Accepted) -> None:
+        super().on_accepted(now, voter, ack)
+        pending = self.replication.pending
+        if pending is not None and pending.acks:
+            self.replication.committed, self.replication.pending = pending.record, None
 
 
-def any_reply(replies: Mapping[str, Any]) -> list[str]:
+def any_voter(replies: Mapping[str, Any]) -> list[str]:
     return list(replies)
 
 
@@ -176,14 +187,14 @@
     ("way", "scope", "parts"),
     [
         (WALK, DYING, Parts(told_first=True)),
-        (WALK, NO_TIME, Parts(GrantsAnEpochTwice)),
-        (PHASES, NO_TIME, Parts(VotesAtOnceWithNoMemory)),
+        (WALK, NO_TIME, Parts(PromisesAnEpochTwice)),
+        (PHASES, NO_TIME, Parts(VotesWithoutItsState)),
         (WALK, NO_TIME, Parts(AcceptsAnEarlierEpoch)),
-        (PHASES, NO_TIME, Parts(owner=CountsAtTheFirstAnswer)),
-        (WALK, TIME, Parts(GrantsDuringALease)),
+        (PHASES, NO_TIME, Parts(owner=CommitsAtTheFirstAck)),
+        (WALK, TIME, Parts(PromisesDuringALease)),
         (WALK, TIME, Parts(VotesRightAfterItsStart)),
-        (WALK, TIME, Parts(owner=CountsFromTheGrant)),
-        (PHASES, RENEWING, Parts(owner=CountsRenewalsFromTheAnswer)),
+        (WALK, TIME, Parts(owner=CountsTheLeaseFromThePromise)),
+        (PHASES, RENEWING, Parts(owner=CountsRenewalsFromTheReply)),
         (WALK, TIME, Parts(owner=OffersBeforeItStops)),
     ],
     ids=lambda each: (
@@ -193,7 +204,7 @@
         if isinstance(each, Scope)
         else "ToldBeforeItIsOnDisk"
         if each.told_first
-        else (each.voter if each.voter is not Voter else each.owner).__name__
+        else (each.voter if each.voter is not LeaseVoter else each.owner).__name__
     ),
 )
 def test_a_planted_defect_is_found_and_its_trail_replays(
@@ -233,7 +244,7 @@
     world.do(("lose", "A"))
     for _ in range(4):
         carry(world, "A", "B", "C")
-    assert world.voters["A"].way is None
+    assert world.voters["A"].recovery is None
     carry(world, "C", "x")
     return world
 
@@ -249,10 +260,9 @@
 
 @pytest.mark.parametrize("defect", ["any reply counts", "the life stays"])
 def test_without_lives_that_answer_would_count_and_be_lost(defect: str) -> None:
-    parts = Parts(KeepsItsLife) if defect == "the life stays" else Parts()
-    with patch.object(
-        owner_module, "sound", any_reply if defect == "any reply counts" else owner_module.sound
-    ):
+    parts = Parts(KeepsItsIncarnation) if defect == "the life stays" else Parts()
+    patched = any_voter if defect == "any reply counts" else quorum.valid_voters
+    with patch.object(quorum, "valid_voters", patched):
         world = a_voter_loses_its_memory_between_two_answers(parts)
         assert (1, 2) in world.counted
         world.do(("claim", "y"))
@@ -295,9 +305,9 @@
     act(world, ("lose", "A"), "A", "B", "C")  # which life this is
     for other in ("B", "C"):
         for _ in range(3):
-            if world.voters["A"].way is not None:
+            if world.voters["A"].recovery is not None:
                 act(world, ("way", "A"), "A", other)
-    assert world.voters["A"].way is None
+    assert world.voters["A"].recovery is None
     claims(world, "y", "A", "B")
     return world
 
@@ -305,9 +315,9 @@
 @pytest.mark.parametrize(
     ("script", "defect", "last"),
     [
-        (a_record_at_a_minority_is_taken_over, Parts(owner=DoesNotWriteAnew), (3, 1)),
-        (a_voter_reads_others_on_its_way_back, Parts(ReadsNobody), (2, 1)),
-        (a_voter_reads_others_on_its_way_back, Parts(ForgetsWhatItIsTold), (2, 1)),
+        (a_record_at_a_minority_is_taken_over, Parts(owner=DoesNotCommitTheBaseAnew), (3, 1)),
+        (a_voter_reads_others_on_its_way_back, Parts(RecoversFromOneVoter), (2, 1)),
+        (a_voter_reads_others_on_its_way_back, Parts(ForgetsRecordsOfItsRecovery), (2, 1)),
     ],
 )
 def test_what_no_walk_finds_soon_is_found_by_hand(
--- a/tests/leases/test_processes.py
+++ b/tests/leases/test_processes.py
@@ -115,7 +115,7 @@
         seen: dict[tuple[int, int], Row] = {}
         for name in self.names:
             rows: list[Row] = [
-                (row["epoch"], row["step"], tuple(row["out"]), row["status"])
+                (row["epoch"], row["step"], tuple(row["drained"]), row["status"])
                 for row in self.logged(name, b'"drains_changed"')
             ]
             for row in rows:
@@ -242,9 +242,9 @@
     first = brokers.wait_owner()
     brokers.end(first, by=signal.SIGTERM)
     second = brokers.wait_owner(but=first)
-    (lost,) = brokers.logged(first, b'"job_lost"')
-    owned = brokers.logged(second, b'"job_owned"')[0]
-    assert lost["why"] == "told to stop"
+    (lost,) = brokers.logged(first, b'"lease_lost"')
+    owned = brokers.logged(second, b'"lease_acquired"')[0]
+    assert lost["reason"] == "told to stop"
     assert stamp(owned) - stamp(lost) < LEASE / 2
 
 
@@ -263,7 +263,7 @@
     brokers.until(lambda: not brokers.job(first)["here"])
     brokers.watch(4 * LEASE)  # it goes on trying, and does not make the job flap
     assert brokers.job(second)["here"] and brokers.job(second)["epoch"] == epoch
-    lost = {name: len(brokers.logged(name, b'"job_lost"')) for name in brokers.names}
+    lost = {name: len(brokers.logged(name, b'"lease_lost"')) for name in brokers.names}
     assert lost == dict.fromkeys(brokers.names, 0) | {first: 1}
     brokers.stopped.discard(first)
     brokers.links.heal()
@@ -327,8 +327,10 @@
         data[len(data) // 2] ^= 1
         path.write_bytes(data)
     brokers.start("b1")
-    (lost,) = brokers.logged("b1", b'"voter_lost_its_memory"')
-    assert lost["why"] == ("there is no state" if trouble == "empty" else "its checksum is wrong")
+    (lost,) = brokers.logged("b1", b'"voter_state_lost"')
+    assert lost["reason"] == (
+        "there is no state" if trouble == "empty" else "its checksum is wrong"
+    )
     brokers.until(lambda: bool(brokers.owner_view("b1")["voter"]["votes"]))
     assert brokers.owner_view("b1")["voter"]["life"] == life + 1
     brokers.wait_owner()
--- a/tests/subsets/test_driver.py
+++ b/tests/subsets/test_driver.py
@@ -1,7 +1,7 @@
 """The subset on a loop: lists in slices, what drains first, the whole list after a defect, and what is told.
 
 The clock goes on by a tenth of a millisecond each time that it is asked, so that work has a length and all else is
-the same in each run. Entries come in as a list's source hands them to `Drained`.
+the same in each run. Entries come in as a list's source hands them to `DrainedEndpoints`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from stepknot.broker.subset_driver import MAX_HANDED_ENTRIES, MAX_SLICE_SECONDS, SubsetDriver
 from stepknot.cli.serve import make
 from stepknot.config.settings import load
-from stepknot.discovery.drained_endpoints import Drained
+from stepknot.discovery.drained_endpoints import DrainedEndpoints
 from stepknot.interface import (
     InstancesCounted,
     Limits,
@@ -56,7 +56,7 @@
 
     def __post_init__(self) -> None:
         self.loop = Loop(self.clock, on_error=lambda name, error: self.errors.append(error))
-        self.listed = Drained(self.take)
+        self.listed = DrainedEndpoints(self.take)
         self.own = SubsetDriver(
             self.loop,
             self.settings,
@@ -89,10 +89,10 @@
         return found
 
     def full(self, entries: Iterable[ServerEntry]) -> None:
-        self.listed.take(ListReceived(ListKind.FULL, tuple(entries)))
+        self.listed.receive_list(ListReceived(ListKind.FULL, tuple(entries)))
 
     def change(self, *entries: ServerEntry) -> None:
-        self.listed.take(ListReceived(ListKind.CHANGES, entries))
+        self.listed.receive_list(ListReceived(ListKind.CHANGES, entries))
 
     def turn(self) -> None:
         self.loop.again = True  # the poll waits by the machine's clock: it need not
@@ -181,7 +181,7 @@
     held = next(iter(world.core().values()))
     world.change(*other(each=200))
     world.turn()
-    world.listed.set_out([held.server])
+    world.listed.set_drained([held.server])
     turns = world.until(lambda: world.core()[held.server].state is ServerState.DRAINING)
     assert turns <= 4 and len(world.own.subset.intake.pending.unindexed) > 7000, (
         "the long list is hardly begun"
@@ -234,7 +234,7 @@
 
 def test_a_list_that_fails_is_told_at_once_and_changes_nothing(world: World) -> None:
     before = world.core()
-    world.listed.take(ListReceived(ListKind.FAILED))
+    world.listed.receive_list(ListReceived(ListKind.FAILED))
     assert world.taken[-1].kind is ListKind.FAILED and world.own.slice_timer is None
     world.taken.pop()
     assert world.core() == before
@@ -287,7 +287,7 @@
             since = chance.choice([0.0, world.now - COLD_TIME / 2, world.now])
             world.change(*(replace(entry, state=state, up_since=since) for entry in some))
         elif what == 2:
-            world.listed.set_out(entry.server for entry in some)
+            world.listed.set_drained(entry.server for entry in some)
         elif what == 3:
             world.own.set_instances(chance.choice([40, 100, 300]))
         else:
@@ -295,7 +295,7 @@
     world.own.set_instances(FLEET.instances)
     world.settle()
     fresh = World(replace(OWN, holders=30.0), now=world.now)
-    fresh.listed.out = world.listed.out
+    fresh.listed.drained = world.listed.drained
     fresh.full(world.listed.entries.values())
     assert not world.own.fault and live(world) == live(fresh)
     for each in (world, fresh):
@@ -329,7 +329,9 @@
 
 
 def everything(world: World) -> dict[str, ServerEntry]:
-    return {server: world.listed.seen(entry) for server, entry in world.listed.entries.items()}
+    return {
+        server: world.listed.mark_drained(entry) for server, entry in world.listed.entries.items()
+    }
 
 
 def test_after_a_defect_the_core_has_the_whole_list_and_keeps_it(world: World) -> None:
@@ -348,7 +350,7 @@
     (told,) = world.names("subset_disabled")
     assert "TypeError" in told["reason"] and told["nodes"] == 401 and len(world.errors) == 1
     world.change(*other(), replace(nodes()[7], state=ServerState.GONE))
-    world.listed.set_out(["n1.1"])
+    world.listed.set_drained(["n1.1"])
     world.own.set_instances(3)
     for _ in range(10):
         world.turn()
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -30,11 +30,7 @@
     "admission_state_not_taken",
     "box_listed",
     "descriptors",
-    "drains_changed",
     "internal_error",
-    "job_lost",
-    "job_owned",
-    "ledger_not_understood",
     "peer_changed",
     "peers_isolated",
     "peers_not_isolated",
@@ -47,10 +43,6 @@
     "slow_turn",
     "stopped",
     "stopping",
-    "voter_broken",
-    "voter_does_not_vote",
-    "voter_lost_its_memory",
-    "voter_votes",
     "zone_changed",
 }
 
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -40,7 +40,6 @@
     "stepknot/simulation/day.py": 450,
     "stepknot/simulation/engine.py": 478,
     "stepknot/simulation/fleet.py": 557,
-    "stepknot/simulation/lease_model_checker.py": 644,
     "stepknot/simulation/scale_run.py": 529,
     "stepknot/simulation/stand_in_node.py": 727,
     "stepknot/simulation/subset_cost.py": 657,
