--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -186,7 +186,7 @@
             lambda s: query(s, s.replicas, 0.0),
             "ms",
             AIM,
-            "`logic.py`",
+            "`stepknot/decisions`",
             (("decide, 58 shards, 6 parts: a part, all", FULL.replicas),),
         ),
         Row(
@@ -204,7 +204,7 @@
             lambda s: at(module_memory, s.nodes),
             "bytes",
             MEMORY,
-            "`logic.py`",
+            "`stepknot/decisions`",
             (("decide, 2 replicas, 6 parts: memory with the entries", FULL.nodes),),
         ),
         Row(
@@ -306,7 +306,7 @@
             lambda s: at(change, s.nodes),
             "ms",
             AIM,
-            "`logic.py`",
+            "`stepknot/decisions`",
             (("decide, 2 replicas, 6 parts: one change", FULL.nodes),),
         ),
         Row(
@@ -315,7 +315,7 @@
             lambda s: at(change, s.nodes) / 1e3 * 3 * RESTARTS * s.nodes / FULL.nodes / DAY,
             "core",
             CORE,
-            "`logic.py`",
+            "`stepknot/decisions`",
             (("decide, 2 replicas, 6 parts: one change", FULL.nodes),),
         ),
         Row(
--- a/stepknot/benchlink.py
+++ b/stepknot/benchlink.py
@@ -1,4 +1,4 @@
-"""The bench's wire on standard input and output: parses, translates, dispatches. Decides nothing."""
+"""The simulator's wire on standard input and output: parses, translates, dispatches. Decides nothing."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 
 from stepknot import interface as api
 from stepknot.decisions import Aggregator
+from stepknot.errors import StepknotError
 
 NS = 1_000_000_000
 Fields = dict[str, Any]
@@ -41,19 +42,22 @@
 }
 
 
-class WireError(Exception):
-    """A line or a setting that cannot be understood."""
+class WireError(StepknotError):
+    """A line or a setting that is malformed."""
 
 
 def seconds(ns: float) -> float:
+    """Seconds of nanoseconds."""
     return ns / NS
 
 
 def nanoseconds(value: float) -> int:
+    """Whole nanoseconds of seconds."""
     return round(value * NS)
 
 
 def parse_settings(profile: Fields) -> api.Settings:
+    """The settings of an instance; keys that are not known are ignored."""
     family, allowed, rules = profile["family-info"], profile["allowed"], profile["rules"]
     classes = {}
     for index, lane in enumerate(profile["lanes"]):
@@ -103,6 +107,7 @@
 
 
 def parse_entry(line: Fields) -> api.ServerEntry:
+    """One line of an endpoint list."""
     return api.ServerEntry(
         server=line["node"],
         zone=line["locality"],
@@ -115,6 +120,7 @@
 
 
 def parse_ask(fields: Fields) -> api.Event:
+    """A query, or a part of one: the latter has a shard."""
     if fields["shard"] >= 0:
         return api.PartArrived(
             part_id=fields["request-id"],
@@ -136,6 +142,7 @@
 
 
 def parse_response(fields: Fields) -> api.Event:
+    """The end of an attempt."""
     return api.AttemptEnded(
         part_id=fields["request-id"],
         attempt=fields.get("go", 0),
@@ -148,6 +155,7 @@
 
 
 def parse_probe(fields: Fields) -> api.Event:
+    """The end of a probe."""
     return api.ProbeEnded(
         server=fields["node"],
         outcome=OUTCOMES[fields["ending"]],
@@ -166,6 +174,7 @@
 
 
 def encode(instance: str, action: api.Action) -> dict[str, Fields]:
+    """One action of an instance, as an item of the outbox."""
     fields: Fields = {"i": instance}
     match action:
         case api.Send():
@@ -199,6 +208,21 @@
     return {name: fields}
 
 
+class Batch:
+    """What one line does: events by instance, in their order, and the actions that follow."""
+
+    __slots__ = ("events", "now", "outbox")
+
+    def __init__(self, now: float) -> None:
+        self.now = now
+        self.events: dict[str, list[api.Event]] = {}
+        self.outbox: list[dict[str, Fields]] = []
+
+    def add(self, instance: str, event: api.Event) -> None:
+        """Add an event of an instance."""
+        self.events.setdefault(instance, []).append(event)
+
+
 class Link:
     """The instances of one process, each with its own aggregator."""
 
@@ -207,68 +231,67 @@
         self.tables: dict[int, tuple[api.ServerEntry, ...]] = {}
 
     def reply(self, line: str) -> str:
+        """Take one line and return the line that answers it.
+
+        Raises:
+            WireError: The line is malformed.
+        """
         try:
-            batch = json.loads(line)
-            now = seconds(batch["clock-ns"])
-            serial = batch["serial"]
-            outbox: list[dict[str, Fields]] = []
-            pending: dict[str, list[api.Event]] = {}
-            for item in batch["items"]:
-                ((name, fields),) = item.items()
-                self.take(name, fields, now, pending, outbox)
+            fields = json.loads(line)
+            batch = Batch(seconds(fields["clock-ns"]))
+            serial = fields["serial"]
+            for item in fields["items"]:
+                ((name, item_fields),) = item.items()
+                self._take_item(name, item_fields, batch)
         except WireError:
             raise
         except (ValueError, KeyError, TypeError, IndexError, AttributeError) as error:
             raise WireError(f"malformed line: {type(error).__name__}: {error}") from error
-        for instance, events in pending.items():
-            self.run(instance, now, events, outbox)
-        return json.dumps({"serial": serial, "outbox": outbox}, separators=(",", ":"))
-
-    def take(
-        self,
-        name: str,
-        fields: Fields,
-        now: float,
-        pending: dict[str, list[api.Event]],
-        outbox: list[dict[str, Fields]],
-    ) -> None:
+        for instance, events in batch.events.items():
+            self._run(instance, events, batch)
+        return json.dumps({"serial": serial, "outbox": batch.outbox}, separators=(",", ":"))
+
+    def _take_item(self, name: str, fields: Fields, batch: Batch) -> None:
         if name == "LIST":
             self.tables[fields["table"]] = tuple(parse_entry(line) for line in fields["lines"])
         elif name == "START":
-            try:
-                settings = parse_settings(fields["profile-data"])
-            except (KeyError, ValueError, TypeError, IndexError, AttributeError) as error:
-                raise WireError(
-                    f"setting missing or malformed: {type(error).__name__}: {error}"
-                ) from error
-            self.aggregators[fields["i"]] = Aggregator(settings, fields["prng"])
-            pending[fields["i"]] = []
+            self._start(fields, batch)
         elif name == "CRASH_NOW":
             # What came before in this batch dies with the instance.
             self.aggregators.pop(fields["i"], None)
-            pending.pop(fields["i"], None)
+            batch.events.pop(fields["i"], None)
         elif name == "SYNC":
             kind = LIST_KINDS[fields["mode"]]
             entries = () if kind is api.ListKind.FAILED else self.tables[fields["table"]]
-            pending.setdefault(fields["i"], []).append(api.ListReceived(kind, entries))
+            batch.add(fields["i"], api.ListReceived(kind, entries))
         elif name in PARSERS:
-            pending.setdefault(fields["i"], []).append(PARSERS[name](fields))
+            batch.add(fields["i"], PARSERS[name](fields))
 
-    def run(
-        self, instance: str, now: float, events: list[api.Event], outbox: list[dict[str, Fields]]
-    ) -> None:
+    def _start(self, fields: Fields, batch: Batch) -> None:
+        try:
+            settings = parse_settings(fields["profile-data"])
+        except (KeyError, ValueError, TypeError, IndexError, AttributeError) as error:
+            raise WireError(
+                f"setting missing or malformed: {type(error).__name__}: {error}"
+            ) from error
+        self.aggregators[fields["i"]] = Aggregator(settings, fields["prng"])
+        batch.events[fields["i"]] = []
+
+    def _run(self, instance: str, events: list[api.Event], batch: Batch) -> None:
         aggregator = self.aggregators.get(instance)
         if aggregator is None:
             return
         try:
-            outbox += [encode(instance, action) for action in aggregator.handle(now, events)]
+            actions = aggregator.handle(batch.now, events)
+            batch.outbox += [encode(instance, action) for action in actions]
         except Exception as error:  # noqa: BLE001 - reported to the caller, as the wire wants it
             text = f"{type(error).__name__}: {error}"
-            outbox.append({"INTERNAL_ERROR": {"i": instance, "reason-text": text}})
+            batch.outbox.append({"INTERNAL_ERROR": {"i": instance, "reason-text": text}})
             print(f"benchlink: {instance}: {text}", file=sys.stderr)
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
+    """Answer line by line until the input ends; 1 after a malformed line, else 0."""
     link = Link()
     for line in source:
         try:
--- a/stepknot/interface.py
+++ b/stepknot/interface.py
@@ -16,7 +16,7 @@
 
 
 class Effect(Enum):
-    """What a repeated part does."""
+    """What a part does that is sent a second time."""
 
     SAFE = "safe"  # nothing
     KEYED = "keyed"  # nothing within the class's repeat window
@@ -28,7 +28,7 @@
 
     SERVED = "served"
     ERROR = "error"
-    REJECTED = "rejected"  # turned away unseen
+    REJECTED = "rejected"  # by the server, before it began
     TIMED_OUT = "timed out"
     NOT_CONNECTED = "not connected"
     RESET = "reset"
@@ -42,12 +42,16 @@
 
 
 class ServerState(Enum):
+    """A server's state in the endpoint list."""
+
     LIVE = "live"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class ListKind(Enum):
+    """What a `ListReceived` holds."""
+
     CHANGES = "changes"
     FULL = "full"
     CACHED = "cached"  # the full list as last had, perhaps stale
@@ -56,7 +60,10 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryClass:
-    """A class of query. An answer within `aim` earns `worth`, a later one `late_value` of it."""
+    """A class of query: its latency objective, deadline, worth and what may be repeated.
+
+    An answer within `aim` earns `worth`, a later one `late_value` of it.
+    """
 
     name: str
     aim: float
@@ -72,11 +79,14 @@
 
     @property
     def all_parts(self) -> bool:
+        """Whether a query of this class is answered from all of its parts only."""
         return self.floor >= 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
+    """Rules of the deployment that every instance has to keep."""
+
     drain_grace: float
     cold_share: float  # a server starts with this share of its capacity or more ...
     cold_time: float  # ... and is warm after this long at most
@@ -90,6 +100,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
+    """What the caller allows, and its bounds."""
+
     max_attempts: int
     cancelling: bool = False
     probing: bool = False
@@ -101,6 +113,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """All that an aggregator is told at its start."""
+
     instances: int
     cells: int  # shard s is held by the servers of cells (s + j) mod cells, j < reach
     reach: int
@@ -115,6 +129,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
+    """One server of the endpoint list."""
+
     server: str
     zone: str
     cell: int
@@ -132,12 +148,16 @@
 
 @dataclass(slots=True)
 class ListReceived:
+    """The endpoint list, or changes of it, or that it could not be had."""
+
     kind: ListKind
     entries: tuple[ServerEntry, ...] = ()
 
 
 @dataclass(slots=True)
 class QueryArrived:
+    """A client's query. Its parts come as `PartArrived` in the same call."""
+
     query_id: int
     number: int  # its parts carry the same
     class_name: str
@@ -150,6 +170,8 @@
 
 @dataclass(slots=True)
 class PartArrived:
+    """A part of a query: what one shard is asked for."""
+
     part_id: int
     number: int
     shard: int
@@ -159,6 +181,8 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
+    """An attempt ended; `elapsed` since its send, `load` as the server reports it."""
+
     part_id: int
     attempt: int
     server: str
@@ -170,16 +194,22 @@
 
 @dataclass(slots=True)
 class QueryGone:
+    """The client of a query has disconnected."""
+
     query_id: int
 
 
 @dataclass(slots=True)
 class TimerDue:
+    """A timer that was set is due."""
+
     token: int
 
 
 @dataclass(slots=True)
 class ProbeEnded:
+    """A probe of a server's load ended, `load` as the server reports it."""
+
     server: str
     outcome: Outcome
     elapsed: float
@@ -188,8 +218,10 @@
 
 @dataclass(slots=True)
 class InstancesCounted:
-    """No more instances than this may be there now, instead of as many as the settings say. Without this
-    event those count, so nobody need send it."""
+    """No more instances than this may be there now, instead of as many as the settings say.
+
+    Without this event those count, so nobody need send it.
+    """
 
     instances: int
 
@@ -208,8 +240,10 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; sends to one server in one call of `handle` may travel as one call. What is not
-    written whole by `not_after` is never written: it ends as not connected."""
+    """Start an attempt; sends to one server in one call of `handle` may travel as one call.
+
+    What is not written whole by `not_after` is never written: it ends as not connected.
+    """
 
     part_id: int
     server: str
@@ -220,6 +254,8 @@
 
 @dataclass(slots=True)
 class Cancel:
+    """Cancel an attempt: its answer is of no more use."""
+
     part_id: int
     attempt: int
 
@@ -234,7 +270,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final: turned away, trying again is harmless."""
+    """Final: rejected, and to repeat the query is harmless; `retry_after` in seconds, 0: no advice."""
 
     query_id: int
     retry_after: float = 0.0
@@ -242,13 +278,15 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final: given up, with no promise about its effect."""
+    """Final: failed, with no promise about its effect."""
 
     query_id: int
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Hand back one `TimerDue` with this token at this time."""
+
     at: float
     token: int
 
