--- a/stepknot/zones/recovery.py
+++ b/stepknot/zones/recovery.py
@@ -51,7 +51,7 @@
             self._step_failed += 1
 
     def end_step(self, now: float) -> str:
-        """Judge the step that ended, and begin the next; returns the reason why the ramp changed, "" where it did not."""
+        """Judge the step that ended, and begin the next; returns why the ramp changed, "" where it did not."""
         total = self._step_served + self._step_failed
         reason = ""
         if total and self._step_failed >= FAILED_STEP_FRACTION * total:
