--- a/bench/planted_defects/net.py
+++ b/bench/planted_defects/net.py
@@ -105,7 +105,7 @@
     ),
     PlantedDefect(
         path="stepknot/net/server.py",
-        original="gate.let_go(self, parser.size)",
+        original="gate.release_bytes(self, parser.size)",
         replacement="pass",
         tests=(
             "tests/admission/test_sockets.py::test_what_was_answered_holds_no_bytes_though_the_next_has_begun",
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -123,7 +123,7 @@
     rest = tail.partition("}")[2]
     path.write_text(head + 'zones {\n  tiers = [["a"], ["b", "c"]]\n  spill = 1.5\n}' + rest)
     zones = load(path).zones
-    assert zones is not None and zones.tiers == (("a",), ("b", "c")) and zones.bounds.spill == 1.5
+    assert zones is not None and zones.tiers == (("a",), ("b", "c")) and zones.failover.spill == 1.5
     path.write_text(head + "zones {\n  enabled = false\n}" + rest)
     assert load(path).zones is None
     assert "zones.spill" in problems(tmp_path, head + "zones {\n  spill = 0.5\n}" + rest)[0]
