--- a/bench/planted_defects/broker.py
+++ b/bench/planted_defects/broker.py
@@ -92,7 +92,7 @@
         original="self.subsetting.set_instances(count)",
         replacement="pass",
         tests=(
-            "tests/subsets/test_driver.py::test_a_broker_uses_some_nodes_before_its_first_turn_and_both_hear_the_count",
+            "tests/subsets/test_driver.py::test_broker_has_its_subset_before_the_first_turn_and_follows_the_count",
         ),
     ),
     PlantedDefect(
@@ -100,7 +100,7 @@
         original="self.listed.on_list = self.subsetting.on_watch_event",
         replacement="pass",
         tests=(
-            "tests/subsets/test_driver.py::test_a_broker_uses_some_nodes_before_its_first_turn_and_both_hear_the_count",
+            "tests/subsets/test_driver.py::test_broker_has_its_subset_before_the_first_turn_and_follows_the_count",
         ),
     ),
 ]
--- a/bench/planted_defects/subsets.py
+++ b/bench/planted_defects/subsets.py
@@ -7,32 +7,26 @@
         path="stepknot/broker/subset_driver.py",
         original="self._on_list(self._full_event(ListKind.FULL, entries))",
         replacement="list(entries)",
-        tests=(
-            "tests/subsets/test_driver.py::test_after_a_defect_the_core_has_the_whole_list_and_keeps_it",
-        ),
+        tests=("tests/subsets/test_driver.py::test_core_has_the_full_list_after_a_defect",),
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
         original="if self.fault or event.kind is ListKind.FAILED:",
         replacement="if event.kind is ListKind.FAILED:",
-        tests=(
-            "tests/subsets/test_driver.py::test_after_a_defect_the_core_has_the_whole_list_and_keeps_it",
-        ),
+        tests=("tests/subsets/test_driver.py::test_core_has_the_full_list_after_a_defect",),
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
         original="                timer.cancel()\n        self.slice_timer",
         replacement="                pass\n        self.slice_timer",
-        tests=(
-            "tests/subsets/test_driver.py::test_what_was_decided_and_not_handed_over_does_not_come_after_the_whole_list",
-        ),
+        tests=("tests/subsets/test_driver.py::test_pending_events_are_dropped_after_falling_back",),
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
         original="while has_more and clock() < until:",
         replacement="while has_more:",
         tests=(
-            "tests/subsets/test_driver.py::test_a_long_list_is_taken_in_slices_and_no_turn_is_held_for_long",
+            "tests/subsets/test_driver.py::test_long_list_is_processed_in_slices_within_the_turn_bound",
         ),
     ),
     PlantedDefect(
@@ -40,7 +34,7 @@
         original="self._loop.call_later(NEXT_TURN, self._run_slice)",
         replacement="self._loop.call_later(0.0, self._run_slice)",
         tests=(
-            "tests/subsets/test_driver.py::test_a_long_list_is_taken_in_slices_and_no_turn_is_held_for_long",
+            "tests/subsets/test_driver.py::test_long_list_is_processed_in_slices_within_the_turn_bound",
         ),
     ),
     PlantedDefect(
@@ -48,31 +42,27 @@
         original="self.outgoing += split_event(event)",
         replacement="self.outgoing.append(event)",
         tests=(
-            "tests/subsets/test_driver.py::test_a_long_list_is_taken_in_slices_and_no_turn_is_held_for_long",
+            "tests/subsets/test_driver.py::test_long_list_is_processed_in_slices_within_the_turn_bound",
         ),
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
         original="self._loop.call_at(at, self._start_work)",
         replacement="None",
-        tests=(
-            "tests/subsets/test_driver.py::test_a_cold_node_is_warm_at_its_time_though_no_list_comes",
-        ),
+        tests=("tests/subsets/test_driver.py::test_slow_start_ends_at_its_time_without_a_list",),
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
         original="self._guard(lambda: self.subset.set_instances(instances))",
         replacement="pass",
-        tests=(
-            "tests/subsets/test_driver.py::test_the_count_of_brokers_sets_how_many_nodes_each_uses",
-        ),
+        tests=("tests/subsets/test_driver.py::test_count_of_brokers_determines_subset_size",),
     ),
     PlantedDefect(
         path="stepknot/broker/subset_change_log.py",
         original="if cells <= MAX_LOGGED_CELLS:",
         replacement="if True:",
         tests=(
-            "tests/subsets/test_driver.py::test_few_changes_are_told_one_by_one_and_many_in_one_event",
+            "tests/subsets/test_driver.py::test_few_changes_are_logged_one_by_one_and_many_in_one_event",
         ),
     ),
     PlantedDefect(
@@ -80,7 +70,7 @@
         original="if self.unemitted and had_urgent_cells and not self.urgent_cells:",
         replacement="if False:",
         tests=(
-            "tests/subsets/test_driver.py::test_a_node_in_use_that_drains_while_a_long_list_is_taken_in_is_passed_on_first",
+            "tests/subsets/test_driver.py::test_draining_node_is_handed_over_before_a_long_list_is_indexed",
         ),
     ),
     PlantedDefect(
@@ -88,7 +78,7 @@
         original="[*cell.ranked, *cell.selected.values()]",
         replacement="cell.selected.values()",
         tests=(
-            "tests/subsets/test_driver.py::test_no_node_takes_anothers_place_that_the_same_list_says_gone_or_draining",
+            "tests/subsets/test_driver.py::test_replacement_is_never_gone_or_draining_by_the_same_list",
         ),
     ),
     PlantedDefect(
@@ -96,7 +86,7 @@
         original="if size < around.max_attempts:",
         replacement="if False:",
         tests=(
-            "tests/subsets/test_config.py::test_a_default_size_under_the_attempts_is_told_where_the_block_begins",
+            "tests/subsets/test_config.py::test_default_size_under_max_attempts_is_reported_at_the_block",
         ),
     ),
     PlantedDefect(
@@ -112,7 +102,7 @@
         original="selected[-1] = of_other_zone",
         replacement="pass",
         tests=(
-            "tests/subsets/test_choice.py::test_the_chosen_are_the_first_but_for_one_of_another_zone_and_one_of_the_nearest",
+            "tests/subsets/test_selection.py::test_selection_is_the_first_ranked_except_for_zone_and_tier",
         ),
         invariant="S2",
     ),
@@ -121,7 +111,7 @@
         original="if all(tier(entry.zone) > nearest for entry in selected):",
         replacement="if False:",
         tests=(
-            "tests/subsets/test_choice.py::test_the_chosen_are_the_first_but_for_one_of_another_zone_and_one_of_the_nearest",
+            "tests/subsets/test_selection.py::test_selection_is_the_first_ranked_except_for_zone_and_tier",
         ),
         invariant="S3",
     ),
@@ -129,7 +119,7 @@
         path="stepknot/subsets/quotas.py",
         original="math.floor(exact + dither)",
         replacement="math.floor(exact)",
-        tests=("tests/subsets/test_choice.py::test_rounding_by_a_draw_keeps_the_mean_of_holders",),
+        tests=("tests/subsets/test_selection.py::test_dithered_quota_keeps_the_mean_of_holders",),
         invariant="S6",
     ),
     PlantedDefect(
@@ -137,7 +127,7 @@
         original="if layout.reach > 1:",
         replacement="if False:",
         tests=(
-            "tests/subsets/test_subset.py::test_a_shard_whose_one_cell_is_all_cold_is_served_from_its_other",
+            "tests/subsets/test_subset.py::test_shard_with_one_cell_in_slow_start_is_served_by_its_other_cell",
         ),
         invariant="S1",
     ),
@@ -146,7 +136,7 @@
         original="self._mark_changed(number, ChangeCause.WARM)",
         replacement="self._stale_cells.setdefault(number, ChangeCause.WARM)",
         tests=(
-            "tests/subsets/test_subset.py::test_a_cell_beside_gives_more_once_the_last_warm_node_drains_and_less_once_others_are_warm",
+            "tests/subsets/test_subset.py::test_neighbouring_cell_gives_more_nodes_until_slow_start_ends",
         ),
         invariant="S4",
     ),
@@ -155,7 +145,7 @@
         original="if read.is_snapshot or self.pending is None:",
         replacement="if self.pending is None:",
         tests=(
-            "tests/subsets/test_subset.py::test_the_subset_is_a_function_of_the_list_whatever_the_way_to_it",
+            "tests/subsets/test_subset.py::test_subset_is_a_function_of_the_list_for_any_history",
         ),
         invariant="S4",
     ),
@@ -164,7 +154,7 @@
         original="if self.unemitted and had_urgent_cells and not self.urgent_cells:",
         replacement="if False:",
         tests=(
-            "tests/subsets/test_subset.py::test_what_drains_is_told_with_its_replacement_before_a_long_list_is_taken_in",
+            "tests/subsets/test_subset.py::test_draining_node_is_emitted_with_its_replacement_before_a_long_list_is_indexed",
         ),
         invariant="S7",
     ),
@@ -173,7 +163,7 @@
         original="self._put_newest([*cell.ranked, *cell.selected.values()])",
         replacement="self._put_newest(cell.selected.values())",
         tests=(
-            "tests/subsets/test_subset.py::test_a_node_that_drains_by_a_list_in_work_does_not_stand_in_for_another",
+            "tests/subsets/test_subset.py::test_node_that_drains_by_an_unindexed_list_is_no_replacement",
         ),
         invariant="S7",
     ),
@@ -181,9 +171,7 @@
         path="stepknot/subsets/subset.py",
         original="(newest.state, newest.up_since) != (entry.state, entry.up_since)",
         replacement="newest.state != entry.state",
-        tests=(
-            "tests/subsets/test_subset.py::test_a_held_node_that_is_another_process_is_no_longer_taken_for_warm",
-        ),
+        tests=("tests/subsets/test_subset.py::test_restarted_node_is_no_longer_treated_as_warm",),
         invariant="S7",
     ),
     PlantedDefect(
@@ -191,7 +179,7 @@
         original="            if not self.index.selected(entry.server)\n",
         replacement="",
         tests=(
-            "tests/subsets/test_subset.py::test_a_node_that_moves_to_another_cell_is_not_told_to_be_gone_after_it_entered",
+            "tests/subsets/test_subset.py::test_node_that_moves_to_another_cell_is_not_emitted_as_gone",
         ),
     ),
     PlantedDefect(
@@ -199,21 +187,21 @@
         original="self._first_kind = event.kind",
         replacement="pass",
         tests=(
-            "tests/subsets/test_subset.py::test_the_first_list_is_told_also_where_nothing_of_it_is_used",
+            "tests/subsets/test_subset.py::test_first_list_is_emitted_even_if_nothing_is_selected",
         ),
     ),
     PlantedDefect(
         path="stepknot/subsets/list_intake.py",
         original="READ_ENTRIES = 1024",
         replacement="READ_ENTRIES = 1_000_000",
-        tests=("tests/subsets/test_subset.py::test_no_unit_grows_with_the_list",),
+        tests=("tests/subsets/test_subset.py::test_unit_of_work_does_not_grow_with_the_list",),
     ),
     PlantedDefect(
         path="stepknot/subsets/cell_selector.py",
         original="has_room = len(warm) < cell.quota and len(warming_up) < cell.quota",
         replacement="has_room = True",
         tests=(
-            "tests/subsets/test_subset.py::test_of_a_cell_that_is_all_cold_a_quota_is_used_and_of_some_cold_what_ranks_before_a_warm_one",
+            "tests/subsets/test_subset.py::test_nodes_in_slow_start_are_bounded_by_quota_and_rank",
         ),
         invariant="S9",
     ),
@@ -222,7 +210,7 @@
         original="max(mean + KEPT_DEVIATIONS * math.sqrt(mean * (1.0 - fraction)), 1.0)",
         replacement="max(mean, 1.0)",
         tests=(
-            "tests/subsets/test_cold.py::test_alike_views_are_over_the_budget_once_in_a_thousand_and_never_over_what_is_spare",
+            "tests/subsets/test_slow_start.py::test_equal_views_rarely_exceed_capacity_and_never_the_spare_part",
         ),
         invariant="S8",
     ),
@@ -231,7 +219,7 @@
         original="if divisor >= instances:",
         replacement="if False:",
         tests=(
-            "tests/subsets/test_cold.py::test_where_a_part_of_the_brokers_would_take_more_than_all_of_them_all_may",
+            "tests/subsets/test_slow_start.py::test_all_brokers_are_eligible_where_a_fraction_would_need_a_larger_divisor",
         ),
         invariant="S8",
     ),
@@ -239,7 +227,7 @@
         path="stepknot/subsets/slow_start.py",
         original="fraction = min(1.0, ELIGIBLE_FACTOR * quota / max(live_count, 1))",
         replacement="fraction = min(1.0, ELIGIBLE_FACTOR * quota / max(live_count, 1)) / 2",
-        tests=("tests/subsets/test_subset.py::test_what_is_used_of_any_fleet",),
+        tests=("tests/subsets/test_subset.py::test_subset_of_any_fleet_keeps_the_invariants",),
         invariant="S8",
     ),
 ]
--- a/tests/subsets/following.py
+++ b/tests/subsets/follower.py
@@ -1,4 +1,4 @@
-"""A subset with a follower that applies its events as the module does, and holds them to S7."""
+"""A subset with a follower that applies its events as the decision library does, and checks them by S7."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Follower:
-    """`view` is what the module has been told, `truth` what the lists said last."""
+    """A subset and its reader: `view` is what the events made of it, `truth` the newest entries of the lists."""
 
     def __init__(
         self,
@@ -99,7 +99,7 @@
                     f"S7: {entry} drains and enters"
                 )
                 self.view[entry.server] = entry
-        # One event holds all that one choice changed: there is no time at which a part of it is told.
+        # One event has all changes of one selection: no part of it is emitted alone.
         assert self.view == self.held()
 
     def held(self) -> dict[str, ServerEntry]:
--- a/tests/subsets/test_config.py
+++ b/tests/subsets/test_config.py
@@ -1,4 +1,4 @@
-"""The `subset` block: what is taken, what is told with its line, what each command says, and what is loaded without."""
+"""The `subset` block: values that are accepted or reported with their line, commands, and lazy loading."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     return found.key, found.expected, path.read_text().splitlines()[found.line - 1]
 
 
-def test_without_the_block_or_switched_off_there_is_no_subset(tmp_path: Path) -> None:
+def test_subset_is_absent_without_the_block_or_when_disabled(tmp_path: Path) -> None:
     assert load(written(tmp_path, "")).subset is None
     assert (
         load(written(tmp_path, BLOCK.replace("subset {", "subset {\n  enabled = false"))).subset
@@ -57,12 +57,12 @@
     )
 
 
-def test_the_block_is_read_with_zone_and_tiers_of_their_own_places(tmp_path: Path) -> None:
+def test_block_is_read_with_zone_and_tiers_of_other_blocks(tmp_path: Path) -> None:
     found = load(written(tmp_path, BLOCK, TIERS)).subset
     assert found == SubsetSettings("eu-7", 4, 200.0, 8.0, "a", (("a",), ("b", "c")))
 
 
-def test_the_name_among_peers_is_the_identity_where_none_is_given_and_the_rest_has_defaults(
+def test_identity_defaults_to_the_peer_name_and_other_keys_to_defaults(
     tmp_path: Path,
 ) -> None:
     found = load(written(tmp_path, "subset {}\n" + PEERS)).subset
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize(
     "peers", ["", PEERS.replace('name = "b3"', ""), PEERS.replace("name", "enabled = false\n #")]
 )
-def test_without_a_name_of_its_own_a_broker_does_not_start(tmp_path: Path, peers: str) -> None:
+def test_missing_identity_is_rejected(tmp_path: Path, peers: str) -> None:
     key, expected, line = problem(written(tmp_path, BLOCK.replace('identity = "eu-7"', "") + peers))
     assert key == "subset.identity" and line.startswith("subset")
     assert expected.startswith("missing: brokers with one identity would use the same nodes")
@@ -100,14 +100,14 @@
         ),
     ],
 )
-def test_what_is_wrong_is_told_with_its_line(
+def test_invalid_value_is_reported_with_its_line(
     tmp_path: Path, old: str, new: str, key: str, expected: str
 ) -> None:
     found = problem(written(tmp_path, BLOCK.replace(old, new)))
     assert found[0] == f"subset.{key}" and expected in found[1] and key in found[2]
 
 
-def test_a_size_of_one_leaves_no_replica_for_a_second_copy(tmp_path: Path) -> None:
+def test_size_of_one_is_rejected_with_hedged_requests(tmp_path: Path) -> None:
     once = ("max_attempts    = 3", "max_attempts    = 1")
     key, expected, _ = problem(
         written(tmp_path, BLOCK.replace("size     = 4", "size     = 1"), once)
@@ -118,13 +118,13 @@
     assert found is not None and found.size == 1
 
 
-def test_a_default_size_under_the_attempts_is_told_where_the_block_begins(tmp_path: Path) -> None:
+def test_default_size_under_max_attempts_is_reported_at_the_block(tmp_path: Path) -> None:
     many = ("max_attempts    = 3", "max_attempts    = 9")
     key, expected, line = problem(written(tmp_path, BLOCK.replace("  size     = 4\n", ""), many))
     assert key == "subset.size" and "(9) or more, not 4" in expected and line.startswith("subset")
 
 
-def test_a_nearness_that_leaves_far_zones_no_weight_at_all_is_refused(tmp_path: Path) -> None:
+def test_near_that_leaves_far_zones_no_weight_is_rejected(tmp_path: Path) -> None:
     tiers = (
         "zones {\n",
         f"zones {{\n  tiers = {orjson.dumps([[f't{each}'] for each in range(40)]).decode()}\n",
@@ -135,12 +135,12 @@
     assert key == "subset.near" and "41 tiers" in expected
 
 
-def test_the_block_twice_is_told(tmp_path: Path) -> None:
+def test_duplicate_block_is_reported(tmp_path: Path) -> None:
     key, expected, _ = problem(written(tmp_path, BLOCK + BLOCK))
     assert key == "subset" and expected == "given twice"
 
 
-def test_check_says_whether_it_is_on(tmp_path: Path) -> None:
+def test_check_command_shows_the_subset(tmp_path: Path) -> None:
     path = written(tmp_path, "")
     assert "all nodes used" in CliRunner().invoke(cli, ["check", str(path)]).output
     assert (
@@ -160,14 +160,14 @@
     )
 
 
-def test_nobody_there_ends_the_command_with_2_and_its_help_has_examples() -> None:
+def test_command_exits_with_2_when_unreachable_and_help_has_examples() -> None:
     run = CliRunner().invoke(cli, ["subset", "127.0.0.1:1"])
     assert run.exit_code == 2 and "127.0.0.1:1" in run.output
     text = CliRunner().invoke(cli, ["subset", "--help"]).output
     assert "Example: stepknot subset" in text and "--why" in text and "Exit code 1" in text
 
 
-def test_the_table_and_the_reason_show_what_is_known() -> None:
+def test_table_and_reason_show_the_answer() -> None:
     found = {
         "broker": "demo",
         "identity": "eu-7",
@@ -225,7 +225,7 @@
         "stepknot.cli.serve",
     ],
 )
-def test_without_the_block_nothing_of_it_is_loaded(module: str) -> None:
+def test_subset_modules_are_not_loaded_by_importing_the_program(module: str) -> None:
     code = (
         f"import sys, {module}; sys.exit(any(name.startswith(('stepknot.subsets', 'stepknot.broker.subset_')) "
         "for name in sys.modules))"
@@ -233,7 +233,7 @@
     assert subprocess.run([sys.executable, "-c", code], timeout=30).returncode == 0
 
 
-def test_settings_without_the_block_load_nothing_of_it(tmp_path: Path) -> None:
+def test_subset_modules_are_not_loaded_when_disabled(tmp_path: Path) -> None:
     path = written(tmp_path, "subset {\n  enabled = false\n}\n")
     code = (
         "import sys, pathlib; from stepknot.cli.serve import make; from stepknot.config.settings import load; "
--- a/tests/subsets/test_driver.py
+++ b/tests/subsets/test_driver.py
@@ -1,7 +1,7 @@
-"""The subset on a loop: lists in slices, what drains first, the whole list after a defect, and what is told.
+"""The subset on a loop: sliced work, draining nodes first, the full list after a defect, log events and answers.
 
-The clock goes on by a tenth of a millisecond each time that it is asked, so that work has a length and all else is
-the same in each run. Entries come in as a list's source hands them to `DrainedEndpoints`.
+The clock advances by a tenth of a millisecond each time it is read, so that work has a duration and runs are
+repeatable. Entries come in as the source of a list hands them to `DrainedEndpoints`.
 """
 
 from __future__ import annotations
@@ -136,14 +136,14 @@
     return found
 
 
-def test_the_first_list_is_one_event_before_the_first_turn() -> None:
+def test_first_snapshot_is_one_event_before_the_first_turn() -> None:
     world = World()
     world.full(nodes())
     assert world.turns == [0] and world.taken[0].kind is ListKind.FULL
     assert len(world.core()) == 40 * 3 and not world.own.subset.has_work
 
 
-def test_a_first_list_that_comes_late_is_full_and_in_slices() -> None:
+def test_first_snapshot_after_the_first_turn_is_handed_over_in_slices() -> None:
     world = World()
     world.turn()
     world.full(nodes())
@@ -154,7 +154,7 @@
     assert len(world.core()) == 40 * 3 and len(world.taken) > 1
 
 
-def test_the_same_nodes_are_used_whether_the_list_came_at_once_or_bit_by_bit(world: World) -> None:
+def test_subset_is_the_same_for_a_snapshot_and_for_single_changes(world: World) -> None:
     bits = World()
     bits.turn()
     for entry in reversed(nodes()):
@@ -163,7 +163,7 @@
     assert bits.core() == world.core()
 
 
-def test_a_long_list_is_taken_in_slices_and_no_turn_is_held_for_long(world: World) -> None:
+def test_long_list_is_processed_in_slices_within_the_turn_bound(world: World) -> None:
     world.loop.lag_most, fired, since = 0.0, [], world.loop.turns
     world.loop.call_later(3 * MAX_SLICE_SECONDS, lambda: fired.append(world.loop.turns))
     world.change(*(replace(entry, state=ServerState.GONE) for entry in nodes()), *other())
@@ -175,7 +175,7 @@
     assert len(set(world.turns)) == len(world.turns), "two events in one turn"
 
 
-def test_a_node_in_use_that_drains_while_a_long_list_is_taken_in_is_passed_on_first(
+def test_draining_node_is_handed_over_before_a_long_list_is_indexed(
     world: World,
 ) -> None:
     held = next(iter(world.core().values()))
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize("kind", [ListKind.CHANGES, ListKind.FULL])
-def test_no_node_takes_anothers_place_that_the_same_list_says_gone_or_draining(
+def test_replacement_is_never_gone_or_draining_by_the_same_list(
     world: World, kind: ListKind
 ) -> None:
     """A zone is lost: the best replacements of its nodes are of the same zone."""
@@ -223,7 +223,7 @@
     assert sum(entry.state is ServerState.LIVE for entry in world.core().values()) == 40 * 3
 
 
-def test_a_node_in_use_that_is_gone_is_replaced_before_it_goes(world: World) -> None:
+def test_gone_node_is_handed_over_after_its_replacement(world: World) -> None:
     held = next(iter(world.core().values()))
     world.change(replace(held, state=ServerState.GONE))
     world.settle()
@@ -232,7 +232,7 @@
     assert event.entries[1].server == held.server and len(world.core()) == 40 * 3
 
 
-def test_a_list_that_fails_is_told_at_once_and_changes_nothing(world: World) -> None:
+def test_failed_list_is_handed_over_at_once_and_changes_nothing(world: World) -> None:
     before = world.core()
     world.listed.receive_list(ListReceived(ListKind.FAILED))
     assert world.taken[-1].kind is ListKind.FAILED and world.own.slice_timer is None
@@ -240,7 +240,7 @@
     assert world.core() == before
 
 
-def test_a_cold_node_is_warm_at_its_time_though_no_list_comes(world: World) -> None:
+def test_slow_start_ends_at_its_time_without_a_list(world: World) -> None:
     world.full(replace(entry, up_since=world.now) for entry in nodes())
     world.settle()
     cold = [entry for entry in world.core().values() if entry.sharers]
@@ -251,7 +251,7 @@
     assert len(world.core()) == 40 * 3 and world.own.warm_up_timer is None
 
 
-def test_the_count_of_brokers_sets_how_many_nodes_each_uses(world: World) -> None:
+def test_count_of_brokers_determines_subset_size(world: World) -> None:
     world = World(replace(OWN, holders=50.0))  # of 100 brokers: half of the list
     world.full(nodes())
     world.turn()
@@ -269,7 +269,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_whatever_came_in_whichever_order_the_same_nodes_are_used_as_by_one_that_starts_now(
+def test_random_history_leads_to_the_subset_of_a_fresh_broker(
     seed: int,
 ) -> None:
     """Lists of changes, whole ones, drains by the ledger and counts come while others are still taken in."""
@@ -334,7 +334,7 @@
     }
 
 
-def test_after_a_defect_the_core_has_the_whole_list_and_keeps_it(world: World) -> None:
+def test_core_has_the_full_list_after_a_defect(world: World) -> None:
     world.change(*(replace(entry, up_since=world.now) for entry in nodes()[:200]))
     world.settle()
     assert any(entry.sharers for entry in world.core().values())
@@ -359,7 +359,7 @@
     assert len(world.names("subset_disabled")) == 1 and len(world.errors) == 1
 
 
-def test_a_defect_as_a_list_comes_in_or_at_the_very_first_one_is_borne_too() -> None:
+def test_defect_on_the_first_or_a_later_list_falls_back_to_the_full_list() -> None:
     world = World()
     world.full([*nodes(), broken(nodes()[0])])
     assert world.own.fault and world.core() == everything(world) and world.turns == [0]
@@ -371,7 +371,7 @@
     assert world.own.fault and world.core() == everything(world) and len(world.core()) == 400
 
 
-def test_what_was_decided_and_not_handed_over_does_not_come_after_the_whole_list(
+def test_pending_events_are_dropped_after_falling_back(
     world: World,
 ) -> None:
     world.change(*(replace(entry, state=ServerState.GONE) for entry in nodes()[100:]), *other())
@@ -382,7 +382,7 @@
     assert world.core() == everything(world) and world.taken[-1].kind is ListKind.FULL
 
 
-def test_operators_and_metrics_are_told_of_the_defect(world: World) -> None:
+def test_defect_is_shown_in_answer_and_metrics(world: World) -> None:
     assert {metric.name for metric in world.own.collect()} >= {
         "stepknot_subset_held",
         "stepknot_subset_off",
@@ -404,7 +404,7 @@
     return found
 
 
-def test_few_changes_are_told_one_by_one_and_many_in_one_event(world: World) -> None:
+def test_few_changes_are_logged_one_by_one_and_many_in_one_event(world: World) -> None:
     (first,) = world.names("subset_changed")
     assert (
         first["cells"] == 40
@@ -428,7 +428,7 @@
     assert told["cells"] == 40 and told["left_count"] == 120
 
 
-def test_a_list_that_names_this_broker_is_told_once_and_the_entry_is_left_out(world: World) -> None:
+def test_own_address_on_the_list_is_logged_once_and_ignored(world: World) -> None:
     own = ServerEntry("127.0.0.1:9200", "a", 0, ServerState.LIVE)
     world.change(own)
     world.change(replace(own, zone="b"))
@@ -440,7 +440,7 @@
     assert "127.0.0.1:9200" not in world.core()
 
 
-def test_operators_see_zones_quotas_nodes_and_reasons(world: World) -> None:
+def test_answer_shows_zones_quotas_nodes_and_reasons(world: World) -> None:
     world.change(*(replace(entry, up_since=world.now) for entry in nodes() if entry.zone == "b"))
     world.settle()
     found = survey(world, with_held=True)
@@ -459,7 +459,7 @@
     assert "held" not in survey(world)
 
 
-def test_metrics_have_bounded_labels_and_count_what_is_there(world: World) -> None:
+def test_metrics_have_bounded_labels_and_correct_counts(world: World) -> None:
     rows = {
         (sample.name, *sample.labels.values()): sample.value
         for metric in world.own.collect()
@@ -473,7 +473,7 @@
 # --- in a broker
 
 
-def test_a_broker_uses_some_nodes_before_its_first_turn_and_both_hear_the_count(
+def test_broker_has_its_subset_before_the_first_turn_and_follows_the_count(
     tmp_path: Path,
 ) -> None:
     """`holders` 2 of 4 brokers: half of ten replicas; of one broker all."""
--- a/tests/subsets/test_processes.py
+++ b/tests/subsets/test_processes.py
@@ -1,8 +1,7 @@
-"""Three processes of the program, each with two of five replicas a shard, while nodes crash, drain and start cold, a
-zone is lost, a list comes late, and brokers leave and come back.
+"""Three broker processes, each with two of five replicas a shard, while nodes crash, drain and start cold.
 
-What is checked: each broker's own word on what it uses, and the nodes' sockets. Queries run all the time; each gets its
-answer.
+A zone is lost, a list comes late, and brokers stop and start again. Checked are the brokers' admin answers and the
+nodes' sockets. Queries run all the time; each gets its answer.
 """
 
 from __future__ import annotations
@@ -176,7 +175,7 @@
     return running
 
 
-def test_each_broker_uses_its_replicas_of_each_shard_in_two_zones_and_no_other_node_hears_of_it(
+def test_each_broker_sends_to_its_subset_only_in_two_zones(
     brokers: Subsets,
 ) -> None:
     since = time.monotonic()
@@ -192,7 +191,7 @@
         assert {box.address for box in asked} <= brokers.held(name)
 
 
-def test_a_node_that_crashes_is_replaced_and_is_back_in_its_place_once_it_is_warm(
+def test_crashed_node_is_replaced_and_returns_after_slow_start(
     brokers: Subsets,
 ) -> None:
     before = brokers.usual
@@ -216,7 +215,7 @@
     assert box.address in brokers.held("b0", "warm")
 
 
-def test_nodes_that_drain_get_nothing_after_the_grace_and_their_replacements_are_used_before(
+def test_draining_nodes_get_nothing_after_the_grace_period_and_are_replaced_before(
     brokers: Subsets,
 ) -> None:
     before = brokers.usual
@@ -246,7 +245,7 @@
     brokers.until(lambda: brokers.all_held() == before)
 
 
-def test_a_zone_that_is_lost_is_replaced_and_comes_back_cold(brokers: Subsets) -> None:
+def test_lost_zone_is_replaced_and_returns_in_slow_start(brokers: Subsets) -> None:
     before = brokers.usual
     lost = [box for box in brokers.fleet.boxes if box.zone == "a"]
     gone = {box.address for box in lost}
@@ -269,7 +268,7 @@
         )
 
 
-def test_a_broker_that_starts_again_under_its_name_uses_the_same_nodes(brokers: Subsets) -> None:
+def test_restarted_broker_has_the_same_subset(brokers: Subsets) -> None:
     before = brokers.usual
     brokers.end("b1")
     brokers.start("b1")
@@ -278,7 +277,7 @@
     brokers.until(lambda: brokers.all_held() == before)
 
 
-def test_a_list_that_comes_late_to_one_broker_is_that_ones_trouble_only(brokers: Subsets) -> None:
+def test_late_list_affects_only_its_own_broker(brokers: Subsets) -> None:
     before = brokers.usual
     box = brokers.box(sorted(before[LATE])[0])
     brokers.late = True
@@ -293,7 +292,7 @@
     assert brokers.per_cell(LATE) == dict.fromkeys(range(CELLS), SIZE)
 
 
-def test_fewer_brokers_use_more_nodes_each_and_more_brokers_fewer(brokers: Subsets) -> None:
+def test_subset_grows_with_fewer_brokers_and_shrinks_with_more(brokers: Subsets) -> None:
     before = brokers.usual
     brokers.end("b1", "b2", by=signal.SIGTERM)
     brokers.until(lambda: brokers.per_cell("b0") == dict.fromkeys(range(CELLS), REPLICAS))
@@ -310,7 +309,7 @@
     assert brokers.subset("b0")["instances"] == 3
 
 
-def test_the_command_shows_zones_and_reasons(brokers: Subsets) -> None:
+def test_command_shows_zones_and_reasons(brokers: Subsets) -> None:
     admin = f"127.0.0.1:{brokers['b0'].admin}"
     table = run("subset", admin)
     assert (
@@ -331,7 +330,7 @@
     assert unknown.returncode == 2 and "the list has no node 10.9.9.9:1" in unknown.stderr
 
 
-def test_a_broker_that_the_list_names_as_a_node_does_not_use_itself(brokers: Subsets) -> None:
+def test_broker_on_its_own_list_does_not_use_itself(brokers: Subsets) -> None:
     own = f"127.0.0.1:{brokers['b0'].port}"
     path = brokers.fleet.folder / "boxes.json"
     rows = orjson.loads(path.read_bytes())["boxes"]
@@ -344,14 +343,14 @@
     brokers.fleet.write_list()
 
 
-def test_no_broker_met_a_defect_of_its_own(brokers: Subsets) -> None:
+def test_no_broker_logged_a_defect(brokers: Subsets) -> None:
     for name in brokers.names:
         assert not brokers.events(name, "internal_error") and not brokers.events(
             name, "subset_disabled"
         )
 
 
-def test_the_six_rules_hold_on_a_day_with_subsets(tmp_path: Path) -> None:
+def test_six_rules_hold_on_a_fault_day_with_subsets(tmp_path: Path) -> None:
     steps = (
         Step(1.0, "crash", 1, 1.5),
         Step(2.0, "drain", 2, 2.0),
--- a/tests/subsets/test_choice.py
+++ b/tests/subsets/test_selection.py
@@ -1,4 +1,4 @@
-"""Ranking, quotas and the choice among a cell's nodes: pure functions."""
+"""Rendezvous hashing, quotas and the selection among a cell's nodes: pure functions."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 COUNTS = st.lists(st.integers(0, 9), min_size=1, max_size=5)
 
 
-def test_a_draw_is_of_both_names_and_their_border_counts() -> None:
+def test_uniform_hash_depends_on_both_names_and_where_they_end() -> None:
     assert uniform_hash("b1", "n1") == uniform_hash("b1", "n1")
     assert (
         len(
@@ -40,7 +40,7 @@
     assert all(0 < uniform_hash("b", f"n{number}") <= 1 for number in range(1000))
 
 
-def test_brokers_draw_evenly_and_independently_for_nodes_whose_names_differ_in_a_digit() -> None:
+def test_hashes_of_similar_names_are_uniform_and_independent() -> None:
     """Each pair of neighbouring brokers shares as many nodes of the first tenth as chance has it."""
     nodes = [f"10.0.{number // 250}.{number % 250}:9300" for number in range(2000)]
     held = [
@@ -52,7 +52,7 @@
     assert all(abs(each - 20) < 5 * math.sqrt(20) for each in common)
 
 
-def test_weights_count_in_proportion() -> None:
+def test_lowest_score_is_won_in_proportion_to_weight() -> None:
     """A node of twice the weight wins two races of three."""
     won = sum(
         rendezvous_score(uniform_hash("b", f"x{number}"), 2.0)
@@ -62,20 +62,20 @@
     assert abs(won - 6000) < 4 * math.sqrt(9000 * 2 / 9)
 
 
-def test_the_own_zone_comes_before_named_tiers_and_others_last() -> None:
+def test_tier_is_lowest_for_own_zone_and_highest_for_unnamed_zones() -> None:
     tiers = (("a", "b"), ("c",))
     assert [tier_of(zone, "a", tiers) for zone in "abcd"] == [0, 1, 2, 3]
 
 
 @given(COUNTS, st.integers(0, 30))
-def test_a_shards_quota_is_the_least_that_is_enough(live: list[int], size: int) -> None:
+def test_quota_for_shard_is_the_minimum_that_suffices(live: list[int], size: int) -> None:
     quota = quota_for_shard(live, size)
     assert sum(min(quota, count) for count in live) >= min(size, sum(live))
     assert quota == 0 or sum(min(quota - 1, count) for count in live) < min(size, sum(live))
 
 
 @given(COUNTS, st.integers(1, 4), st.integers(1, 12))
-def test_each_shard_gets_its_size_from_the_quotas_of_its_cells(
+def test_quotas_of_its_cells_give_each_shard_its_size(
     live: list[int], reach: int, size: int
 ) -> None:
     cells = len(live)
@@ -92,7 +92,7 @@
 
 
 @given(st.integers(0, 100), st.floats(0, 1e9), st.integers(1, 10**9))
-def test_rounding_by_a_draw_keeps_the_mean_of_holders(
+def test_dithered_quota_keeps_the_mean_of_holders(
     live: int, holders: float, instances: int
 ) -> None:
     exact = min(holders * live / instances, live)
@@ -107,9 +107,7 @@
 
 
 @given(ZONED, st.integers(MIN_CELL_QUOTA, 6))
-def test_the_chosen_are_the_first_but_for_one_of_another_zone_and_one_of_the_nearest(
-    zones: str, quota: int
-) -> None:
+def test_selection_is_the_first_ranked_except_for_zone_and_tier(zones: str, quota: int) -> None:
     ranked = [
         ServerEntry(f"n{place}", zone, 0, ServerState.LIVE) for place, zone in enumerate(zones)
     ]
@@ -127,7 +125,7 @@
 
 
 @pytest.mark.parametrize("quota", [2, 4])
-def test_a_preferred_order_that_serves_is_not_touched(quota: int) -> None:
+def test_selection_keeps_rank_order_that_satisfies_zone_and_tier(quota: int) -> None:
     ranked = [
         ServerEntry(f"n{place}", zone, 0, ServerState.LIVE) for place, zone in enumerate("baccdd")
     ]
--- a/tests/subsets/test_cold.py
+++ b/tests/subsets/test_slow_start.py
@@ -25,7 +25,7 @@
 
 
 @given(st.integers(0, 200), st.integers(0, 500), st.integers(1, 10**9))
-def test_a_share_is_of_the_count_and_of_the_budget_at_most(
+def test_slow_start_share_is_bounded_by_count_and_capacity(
     quota_: int, live: int, count: int
 ) -> None:
     found = slow_start_share(quota_, live, count)
@@ -39,12 +39,12 @@
 
 
 @pytest.mark.parametrize("brokers", [1, 30, 200, 256])
-def test_small_fleets_divide_by_all_and_leave_nothing_to_chance(brokers: int) -> None:
+def test_small_fleet_divides_capacity_by_all_brokers(brokers: int) -> None:
     assert over([View(brokers, quota(brokers), 62, brokers)], 1.0) == 0
     assert slow_start_share(quota(brokers), 62, brokers).divisor == brokers
 
 
-def test_where_a_part_of_the_brokers_would_take_more_than_all_of_them_all_may() -> None:
+def test_all_brokers_are_eligible_where_a_fraction_would_need_a_larger_divisor() -> None:
     """24 of 62: 23 of 30 brokers in the mean, and four deviations more would be 32."""
     found = slow_start_share(12, 31, 30)
     assert (found.fraction, found.divisor) == (1.0, 30.0)
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize("brokers", [600, 2000, 6600, 20_000])
 @pytest.mark.parametrize("more", [0, 1])  # a quota is rounded up by some
 @pytest.mark.parametrize("holders", [16.0, 64.0, 256.0])
-def test_alike_views_are_over_the_budget_once_in_a_thousand_and_never_over_what_is_spare(
+def test_equal_views_rarely_exceed_capacity_and_never_the_spare_part(
     brokers: int, more: int, holders: float
 ) -> None:
     view = View(brokers, quota(brokers, holders=holders) + more, 62, brokers)
@@ -75,7 +75,7 @@
         max_size=5,
     )
 )
-def test_any_mix_of_views_keeps_the_mean_and_four_deviations_in_what_is_spare(
+def test_mixed_views_keep_mean_and_four_deviations_within_the_spare_part(
     kinds: list[tuple[int, int, int, int]],
 ) -> None:
     """Counts are the truth or more, up to some thousand times; lists of any length, quotas of any part of them."""
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("mix", MIXES)
-def test_two_views_at_once_exactly(mix: str) -> None:
+def test_two_views_have_exact_tail_probabilities_within_bounds(mix: str) -> None:
     views = MIXES[mix]
     mean, deviation = mean_and_deviation(views)
     assert mean <= 1
@@ -114,7 +114,7 @@
     assert over(views, SPARE) < 1e-6
 
 
-def test_the_exact_sums_are_right() -> None:
+def test_exact_tail_sums_agree_with_each_other() -> None:
     assert math.isclose(sum(pmf(6600, 8 / 62)), 1.0, rel_tol=1e-9)
     one = View(400, 4, 62, 400)
     split = [View(150, 4, 62, 400), View(250, 4, 62, 400)]
@@ -122,7 +122,7 @@
         assert math.isclose(over([one], budget), over(split, budget), rel_tol=1e-6)
 
 
-def test_the_hashes_of_names_keep_to_it() -> None:
+def test_hashes_of_names_follow_the_computed_distribution() -> None:
     """6,600 brokers, 200 nodes: the mean as it is reckoned, none over what is spare."""
     share = slow_start_share(4, 62, 6600)
     sums = [
@@ -150,7 +150,7 @@
         (6600, "uneven", (6600, 9000)),
     ],
 )
-def test_no_window_gets_more_than_the_budget_and_chance(
+def test_no_time_window_exceeds_capacity_and_chance(
     instances: int, demand: str, counts: tuple[int, ...]
 ) -> None:
     """The module's own decisions for all brokers that may send, who have nothing but the cold node to send to."""
--- a/tests/subsets/test_subset.py
+++ b/tests/subsets/test_subset.py
@@ -1,4 +1,4 @@
-"""One broker's subset, S1 to S9: for lists of any kind, cut and ordered in any way, and for bad ones."""
+"""One broker's subset, S1 to S9: for lists of any kind, cut and ordered in any way, and for invalid ones."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from stepknot.subsets.quotas import cells_of_shard
 from stepknot.subsets.rendezvous import uniform_hash
 from stepknot.subsets.subset import MAX_EVENT_ENTRIES
-from tests.subsets.following import (
+from tests.subsets.follower import (
     CHANGES,
     COLD_TIME,
     DRAINING,
@@ -62,7 +62,7 @@
 
 
 def check(found: Follower) -> None:
-    """S1 to S3, S8 and S9 of what the module was told."""
+    """S1 to S3, S8 and S9 of the nodes that were emitted."""
     shape, settings_, count = found.subset.layout, found.subset.settings, found.subset.instances
     cells: dict[int, list[ServerEntry]] = {cell: [] for cell in range(shape.cells)}
     for entry in found.truth.values():
@@ -96,7 +96,9 @@
 
 
 @given(FLEETS, SHAPES)
-def test_what_is_used_of_any_fleet(fleet: list[ServerEntry], shape: dict[str, Any]) -> None:
+def test_subset_of_any_fleet_keeps_the_invariants(
+    fleet: list[ServerEntry], shape: dict[str, Any]
+) -> None:
     found = Follower(cells=CELLS, **shape).take(FULL, fleet).finish()
     check(found)
     found.at(NOW + 6.0)  # some are warm by now
@@ -110,7 +112,7 @@
 
 @settings(max_examples=200)
 @given(st.data(), FLEETS, SHAPES)
-def test_the_subset_is_a_function_of_the_list_whatever_the_way_to_it(
+def test_subset_is_a_function_of_the_list_for_any_history(
     data: st.DataObject, fleet: list[ServerEntry], shape: dict[str, Any]
 ) -> None:
     """S4: as after a restart, however the list came, whatever was on it before and wherever work stopped."""
@@ -142,7 +144,7 @@
 
 @settings(max_examples=300)
 @given(st.data(), SHAPES)
-def test_lists_that_come_in_between_never_bring_back_what_a_later_one_ended(
+def test_interleaved_lists_never_restore_an_older_entry(
     data: st.DataObject, shape: dict[str, Any]
 ) -> None:
     """S7, rule 3: the follower holds every event to the newest list that is read."""
@@ -157,7 +159,7 @@
 
 
 @given(st.data(), FLEETS, SHAPES)
-def test_one_nodes_change_is_seen_in_its_own_cell_and_beside_it_only(
+def test_change_of_one_node_affects_only_its_cell_and_those_beside(
     data: st.DataObject, fleet: list[ServerEntry], shape: dict[str, Any]
 ) -> None:
     """S5. Four cells of four: with a reach of one, one cell."""
@@ -178,7 +180,7 @@
     }
 
 
-def test_one_broker_more_or_less_changes_two_of_a_hundred_entries_at_most() -> None:
+def test_one_broker_less_changes_at_most_two_percent_of_entries() -> None:
     """S5, S6: only by the count, and by it only rounding."""
     fleet = [node(f"n{number}", number % 40, zone="abc"[number % 3]) for number in range(40 * 62)]
     changed = total = 0
@@ -195,7 +197,7 @@
     assert changed <= 0.02 * total
 
 
-def test_brokers_a_node_are_binomial_around_the_mean() -> None:
+def test_brokers_per_node_are_binomial_around_the_mean() -> None:
     """S6 at 2,000 brokers of one zone and one cell: no node is over 1 + 4.5 / root of the mean."""
     fleet = [node(f"n{number}", zone="abc"[number % 3]) for number in range(60)]
     counts = Counter(
@@ -214,7 +216,7 @@
     )
 
 
-# --- troubles, forced
+# --- single cases
 
 CELL = [node(f"n{number}") for number in range(20)]
 
@@ -227,7 +229,7 @@
     return [entry.server for entry in found.subset.index.cells[cell].ranked]
 
 
-def test_what_drains_is_told_with_its_replacement_before_a_long_list_is_taken_in() -> None:
+def test_draining_node_is_emitted_with_its_replacement_before_a_long_list_is_indexed() -> None:
     found = Follower(cells=580).take(FULL, CELL).finish()
     first = preferred(found)[0]
     found.take(FULL, CELL + [node(f"m{number}", number % 579 + 1) for number in range(36_000)])
@@ -245,7 +247,7 @@
 
 
 @pytest.mark.parametrize("kind", [FULL, CHANGES])
-def test_a_node_that_drains_by_a_list_in_work_does_not_stand_in_for_another(kind: ListKind) -> None:
+def test_node_that_drains_by_an_unindexed_list_is_no_replacement(kind: ListKind) -> None:
     """It was the next by preference, and its own word was further back in the list than a unit of work goes."""
     found = Follower().take(FULL, CELL).finish()
     first, fifth = preferred(found)[0], preferred(found)[4]
@@ -258,7 +260,7 @@
     assert fifth not in {entry.server for event in found.events for entry in event.entries}
 
 
-def test_a_held_node_that_is_another_process_is_no_longer_taken_for_warm() -> None:
+def test_restarted_node_is_no_longer_treated_as_warm() -> None:
     """Else it gets a warm node's share until a long list is taken in, while it is cold."""
     found = Follower(cells=580).take(FULL, CELL).finish()
     first = preferred(found)[0]
@@ -277,15 +279,13 @@
 
 
 @pytest.mark.parametrize(("old", "new"), [(1, 0), (0, 1)])
-def test_a_node_that_moves_to_another_cell_is_not_told_to_be_gone_after_it_entered(
-    old: int, new: int
-) -> None:
+def test_node_that_moves_to_another_cell_is_not_emitted_as_gone(old: int, new: int) -> None:
     found = Follower(cells=2).take(FULL, [node("x", old), node("y", 0), node("z", 1)]).finish()
     found.take(CHANGES, [node("x", new)]).finish()
     assert found.view["x"].cell == new and len(found.view) == 3
 
 
-def test_a_shard_whose_one_cell_is_all_cold_is_served_from_its_other() -> None:
+def test_shard_with_one_cell_in_slow_start_is_served_by_its_other_cell() -> None:
     cold = [node(f"c{number}", 0, up_since=NOW - 1.0) for number in range(10)]
     warm = [node(f"w{number}", 1 + number % 2) for number in range(20)]
     found = Follower(cells=3, reach=2).take(FULL, cold + warm).finish()
@@ -297,9 +297,7 @@
     assert Counter(entry.cell for entry in found.view.values()) == {0: 2, 1: 2, 2: 2}
 
 
-def test_of_a_cell_that_is_all_cold_a_quota_is_used_and_of_some_cold_what_ranks_before_a_warm_one() -> (
-    None
-):
+def test_nodes_in_slow_start_are_bounded_by_quota_and_rank() -> None:
     """S9. Of 30, eight may be sent to in the mean."""
     cold = [node(f"c{number}", up_since=NOW - 1.0) for number in range(30)]
     for broker in range(30):
@@ -313,9 +311,7 @@
         assert all(preferred(mixed).index(server) <= last for server in mixed.view)
 
 
-def test_a_cell_beside_gives_more_once_the_last_warm_node_drains_and_less_once_others_are_warm() -> (
-    None
-):
+def test_neighbouring_cell_gives_more_nodes_until_slow_start_ends() -> None:
     fleet = (
         [node(f"c{number}", 0, up_since=NOW - 1.0) for number in range(9)]
         + [node(f"w{number}", 1) for number in range(9)]
@@ -328,7 +324,7 @@
 
 
 @pytest.mark.parametrize("fleet", [[], CELL[:1], [drains(entry) for entry in CELL]])
-def test_the_first_list_is_told_also_where_nothing_of_it_is_used(fleet: list[ServerEntry]) -> None:
+def test_first_list_is_emitted_even_if_nothing_is_selected(fleet: list[ServerEntry]) -> None:
     found = Follower().take(FULL, fleet).finish()
     assert [event.kind for event in found.events] == [FULL]
     assert found.names() == {entry.server for entry in fleet if entry.state is LIVE}
@@ -338,7 +334,7 @@
     assert not found.view and not found.subset.index.entries
 
 
-def test_a_failed_call_is_passed_on_at_once_and_changes_nothing() -> None:
+def test_failed_event_is_emitted_at_once_and_changes_nothing() -> None:
     found = Follower().take(FULL, CELL).finish()
     held = found.names()
     found.subset.on_watch_event(type(found.events[0])(ListKind.FAILED))
@@ -348,10 +344,10 @@
     assert found.names() == held
 
 
-# --- bad input
+# --- invalid input
 
 
-def test_this_broker_a_cell_that_no_shard_has_and_two_of_one_name() -> None:
+def test_own_address_unknown_cell_and_duplicate_name_are_handled() -> None:
     fleet = [
         node("me"),
         node("far", 7),
@@ -367,7 +363,7 @@
 
 
 @pytest.mark.parametrize("size", [math.nan, math.inf, -math.inf, 0.0, -3.0, 1e300, 5e-324])
-def test_absurd_sizes_and_starts_neither_rank_alone_nor_break_anything(size: float) -> None:
+def test_absurd_sizes_and_start_times_are_tolerated(size: float) -> None:
     fleet = [replace(entry, size=size, up_since=size) for entry in CELL[:10]] + CELL[10:]
     found = Follower(holders=8.0).take(FULL, fleet).finish()
     held = found.names()
@@ -379,7 +375,7 @@
 
 
 @pytest.mark.parametrize("count", [-5, 0, 1, 10**9, 10**30])
-def test_absurd_counts_of_brokers_leave_the_least_or_all(count: int) -> None:
+def test_absurd_counts_of_brokers_are_clamped(count: int) -> None:
     found = (
         Follower(30, holders=8.0)
         .take(FULL, [replace(CELL[0], up_since=NOW - 1.0), *CELL[1:]])
@@ -391,12 +387,12 @@
     assert len(found.view) == (20 if count <= 1 else len(found.view)) and len(found.view) >= 4
 
 
-def test_more_wanted_than_there_is() -> None:
+def test_size_above_the_number_of_nodes_selects_all() -> None:
     found = Follower(cells=3, size=1000).take(FULL, [*CELL, node("one", 2)]).finish()
     assert len(found.view) == 21 and 1 not in found.subset.index.cells
 
 
-def test_nodes_whose_start_lies_far_ahead_leave_no_heap_behind() -> None:
+def test_start_times_far_ahead_do_not_grow_the_schedule() -> None:
     """Each of its comings left an entry that never came due."""
     found = Follower(cells=2)
     for round_ in range(200):
@@ -425,7 +421,7 @@
     return counts
 
 
-def test_no_unit_grows_with_the_list() -> None:
+def test_unit_of_work_does_not_grow_with_the_list() -> None:
     """36,000 nodes and 100,000 in cells of 62: taken in, the same again, a tenth gone."""
     worst = []
     for nodes in (36_000, 100_000):
