--- a/stepknot/broker/membership_driver.py
+++ b/stepknot/broker/membership_driver.py
@@ -69,7 +69,7 @@
         self.others: dict[bytes, Callable[[bytes], None]] = {}
         self.addresses: dict[str, Address] = {}  # of members, as last known
         if peers.settings.seeds and not self.protocol.join.seeds:
-            log("peers_only_seed_is_this_broker", address=f"{address[0]}:{address[1]}")
+            log("only_own_seed_configured", address=f"{address[0]}:{address[1]}")
         self.timer = loop.call_later(0.0, self.tick)
 
     # --- events of the loop
@@ -151,23 +151,25 @@
 
     def _log_change(self, change: StateChange) -> None:
         self.log(
-            "peer_changed",
+            "member_state_changed",
             version=change.version,
-            peer=change.name,
-            why=change.reason,
-            old=_state_name(change.old_state),
-            new=_state_name(change.new_state),
+            member=change.name,
+            reason=change.reason,
+            old_state=_state_name(change.old_state),
+            new_state=_state_name(change.new_state),
         )
 
     def _log_own_state(self) -> None:
         isolation = self.protocol.isolation
         if isolation.is_isolated != self.was_isolated:
             self.was_isolated = isolation.is_isolated
-            event = "peers_isolated" if self.was_isolated else "peers_not_isolated"
-            self.log(event, why=isolation.reason)
+            self.log(
+                "isolation_began" if self.was_isolated else "isolation_ended",
+                reason=isolation.reason,
+            )
         if self.protocol.member.stepped_aside and not self.logged_stepping_aside:
             self.logged_stepping_aside = True
-            self.log("peers_stepped_aside", why=isolation.reason)
+            self.log("name_conflict_lost", reason=isolation.reason)
 
     def _pass_on_count(self, now: float) -> None:
         count, last = self.protocol.count(now), self.last_count
--- a/stepknot/membership/heartbeats.py
+++ b/stepknot/membership/heartbeats.py
@@ -6,7 +6,7 @@
 
 from stepknot.membership import wire
 from stepknot.membership.isolation import Isolation
-from stepknot.membership.model import MembershipSettings, Record, State
+from stepknot.membership.model import DOUBTED_STATES, MembershipSettings, Record
 from stepknot.membership.outbox import Outbox
 from stepknot.membership.refutation import Refutation
 from stepknot.membership.send_budget import ANSWER_BORROW, HEARTBEAT_BORROW
@@ -55,7 +55,7 @@
         """Send a heartbeat to a member of the table."""
         table = self._view.table
         record = table.records[name]
-        is_doubted = record.state in (State.SUSPECT, State.DEAD)
+        is_doubted = record.state in DOUBTED_STATES
         heartbeat = wire.Heartbeat(
             _milliseconds_since(now, self._view.subjects.get(name)),
             table.digest,
@@ -90,7 +90,7 @@
 
     def _owes_an_answer(self, now: float, sender: Record, subject: Subject | None) -> bool:
         """A member that is held suspect or dead here learns that, so that it can refute it."""
-        is_doubted = self._view.table.records[sender.name].state in (State.SUSPECT, State.DEAD)
+        is_doubted = self._view.table.records[sender.name].state in DOUBTED_STATES
         return is_doubted and (subject is None or now >= subject.next_heartbeat)
 
 
--- a/stepknot/membership/model.py
+++ b/stepknot/membership/model.py
@@ -31,6 +31,7 @@
 
 PRESENT_STATES = (State.JOINING, State.ALIVE, State.SUSPECT)
 ABSENT_STATES = (State.DEAD, State.LEFT)
+DOUBTED_STATES = (State.SUSPECT, State.DEAD)  # a running member refutes them
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True):
--- a/stepknot/simulation/scale_members.py
+++ b/stepknot/simulation/scale_members.py
@@ -202,8 +202,8 @@
             )
 
     def log(self, event: str, **fields: Any) -> None:
-        if event == "peer_changed" and fields["new"] == "dead":
-            self.deaths[fields["peer"]] += 1
+        if event == "member_state_changed" and fields["new_state"] == "dead":
+            self.deaths[fields["member"]] += 1
 
     def crash(self, name: str) -> None:
         member, owner = self.members.pop(name), self.owners.pop(name, None)
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -205,7 +205,7 @@
         brokers.until(lambda: "b2" in brokers.alive("b0"))
         brokers.go_on("b2")
         brokers.until(lambda: bool(brokers.view("b2")["stepped_aside"]))
-        assert any(row["event"] == "peers_stepped_aside" for row in brokers.logged("b2"))
+        assert brokers.logged("b2", b'"name_conflict_lost"')
         assert not query_admin(("127.0.0.1", spare.admin), "/peers")["stepped_aside"]
     finally:
         assert spare.process is not None
@@ -244,6 +244,6 @@
     changes = [
         orjson.loads(line)
         for line in (tmp_path / "broker-0.log").read_bytes().splitlines()
-        if b"peer_changed" in line
+        if b"member_state_changed" in line
     ]
-    assert {"alive", "suspect"} <= {row["new"] for row in changes}
+    assert {"alive", "suspect"} <= {row["new_state"] for row in changes}
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -96,17 +96,17 @@
     def agree(self) -> None:
         self.until(self.agreed)
 
-    def logged(self, name: str, mark: bytes = b'"peer') -> list[dict[str, Any]]:
+    def logged(self, name: str, mark: bytes = b'"member_state_changed"') -> list[dict[str, Any]]:
         text = (self.fleet.folder / f"broker-{self[name].number}.log").read_bytes()
         return [orjson.loads(line) for line in text.splitlines() if mark in line]
 
     def dead(self, since: dict[str, int]) -> set[str]:
         """Who was held dead by anybody since then."""
         return {
-            row["peer"]
+            row["member"]
             for name in self.names
             for row in self.logged(name)[since[name] :]
-            if row["event"] == "peer_changed" and row["new"] == "dead"
+            if row["event"] == "member_state_changed" and row["new_state"] == "dead"
         }
 
     def mark(self) -> dict[str, int]:
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -24,11 +24,6 @@
 WITHOUT_A_ROW = {
     "box_listed",
     "internal_error",
-    "peer_changed",
-    "peers_isolated",
-    "peers_not_isolated",
-    "peers_only_seed_is_this_broker",
-    "peers_stepped_aside",
     "query_ended",
     "reload_refused",
     "reloaded",
