--- a/bench/planted_defects/subsets.py
+++ b/bench/planted_defects/subsets.py
@@ -8,18 +8,21 @@
         original="self._on_list(self._full_event(ListKind.FULL, entries))",
         replacement="list(entries)",
         tests=("tests/subsets/test_driver.py::test_core_has_the_full_list_after_a_defect",),
+        invariant="driver 3",
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
         original="if self.fault or event.kind is ListKind.FAILED:",
         replacement="if event.kind is ListKind.FAILED:",
         tests=("tests/subsets/test_driver.py::test_core_has_the_full_list_after_a_defect",),
+        invariant="driver 3",
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
         original="                timer.cancel()\n        self.slice_timer",
         replacement="                pass\n        self.slice_timer",
         tests=("tests/subsets/test_driver.py::test_pending_events_are_dropped_after_falling_back",),
+        invariant="driver 3",
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
@@ -28,6 +31,7 @@
         tests=(
             "tests/subsets/test_driver.py::test_long_list_is_processed_in_slices_within_the_turn_bound",
         ),
+        invariant="driver 1",
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
@@ -36,6 +40,7 @@
         tests=(
             "tests/subsets/test_driver.py::test_long_list_is_processed_in_slices_within_the_turn_bound",
         ),
+        invariant="driver 1",
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
@@ -44,18 +49,21 @@
         tests=(
             "tests/subsets/test_driver.py::test_long_list_is_processed_in_slices_within_the_turn_bound",
         ),
+        invariant="driver 1",
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
         original="self._loop.call_at(at, self._start_work)",
         replacement="None",
         tests=("tests/subsets/test_driver.py::test_slow_start_ends_at_its_time_without_a_list",),
+        invariant="S4",
     ),
     PlantedDefect(
         path="stepknot/broker/subset_driver.py",
         original="self._guard(lambda: self.subset.set_instances(instances))",
         replacement="pass",
         tests=("tests/subsets/test_driver.py::test_count_of_brokers_determines_subset_size",),
+        invariant="S6",
     ),
     PlantedDefect(
         path="stepknot/broker/subset_change_log.py",
@@ -72,6 +80,7 @@
         tests=(
             "tests/subsets/test_driver.py::test_draining_node_is_handed_over_before_a_long_list_is_indexed",
         ),
+        invariant="S7",
     ),
     PlantedDefect(
         path="stepknot/subsets/subset.py",
@@ -80,6 +89,7 @@
         tests=(
             "tests/subsets/test_driver.py::test_replacement_is_never_gone_or_draining_by_the_same_list",
         ),
+        invariant="S7",
     ),
     PlantedDefect(
         path="stepknot/config/subsets.py",
@@ -96,6 +106,7 @@
         tests=(
             "tests/simulation/test_subset_cost.py::test_a_subset_holds_exactly_its_size_of_each_shard_and_told_the_module_no_more",
         ),
+        invariant="S1",
     ),
     PlantedDefect(
         path="stepknot/subsets/selection.py",
@@ -181,6 +192,7 @@
         tests=(
             "tests/subsets/test_subset.py::test_node_that_moves_to_another_cell_is_not_emitted_as_gone",
         ),
+        invariant="S7",
     ),
     PlantedDefect(
         path="stepknot/subsets/subset.py",
@@ -195,6 +207,7 @@
         original="READ_ENTRIES = 1024",
         replacement="READ_ENTRIES = 1_000_000",
         tests=("tests/subsets/test_subset.py::test_unit_of_work_does_not_grow_with_the_list",),
+        invariant="driver 1",
     ),
     PlantedDefect(
         path="stepknot/subsets/cell_selector.py",
--- a/tests/broker/test_hard_cases.py
+++ b/tests/broker/test_hard_cases.py
@@ -263,7 +263,7 @@
         assert client("PUT", "/reports/_create/a", {"n": 1}).status == 201
     capsules = run.service.core.module.capsules.values()
     assert wait_for(
-        lambda: not run.call(lambda: any(each.asked for each in capsules))
+        lambda: not run.call(lambda: any(each.probe_out for each in capsules))
     )  # no question is out
     stray = b"HTTP/1.1 500 Late\r\ncontent-length: 2\r\n\r\n{}"
     for box in run.boxes:
