--- a/bench/planted_defects/net.py
+++ b/bench/planted_defects/net.py
@@ -78,21 +78,21 @@
         original="if self.too_slow():\n            self.end_slow()",
         replacement="if False:\n            self.end_slow()",
         tests=(
-            "tests/admission/test_sockets.py::test_slow_senders_that_hold_every_seat_are_told_and_closed",
+            "tests/admission/test_sockets.py::test_slow_senders_in_every_slot_are_answered_and_closed",
         ),
     ),
     PlantedDefect(
         path="stepknot/net/link.py",
         original="if len(data) - self.unsent < min_rate * (self.loop.now - started - grace):",
         replacement="if False:",
-        tests=("tests/admission/test_sockets.py::test_a_slow_reader_of_a_large_answer_is_closed",),
+        tests=("tests/admission/test_sockets.py::test_slow_reader_of_a_large_answer_is_closed",),
     ),
     PlantedDefect(
         path="stepknot/net/listener.py",
         original="self._use_spare()\n",
         replacement="pass\n",
         tests=(
-            "tests/admission/test_sockets.py::test_when_descriptors_run_out_all_the_same_the_spare_one_lets_refusals_leave",
+            "tests/admission/test_sockets.py::test_spare_descriptor_answers_connections_when_descriptors_run_out",
         ),
     ),
     PlantedDefect(
@@ -108,7 +108,7 @@
         original="gate.release_bytes(self, parser.size)",
         replacement="pass",
         tests=(
-            "tests/admission/test_sockets.py::test_what_was_answered_holds_no_bytes_though_the_next_has_begun",
+            "tests/admission/test_sockets.py::test_answered_request_releases_its_bytes_though_the_next_has_begun",
         ),
     ),
     PlantedDefect(
@@ -116,7 +116,7 @@
         original="max(self.link.last_readable, self.free_at)",
         replacement="self.link.last_readable",
         tests=(
-            "tests/admission/test_sockets.py::test_thousands_of_pipelined_requests_on_one_connection",
+            "tests/admission/test_sockets.py::test_thousands_of_pipelined_requests_are_served_one_at_a_time",
         ),
     ),
     PlantedDefect(
--- a/tests/admission/test_forwarded.py
+++ b/tests/admission/test_forwarded.py
@@ -58,7 +58,7 @@
     st.sampled_from([b"", b"PROXY ", b"PROXY TCP4 ", SIGNATURE, SIGNATURE + b"\x21\x11"]),
 )
 @settings(max_examples=500, deadline=None, derandomize=True)
-def test_whatever_comes_is_a_header_malformed_or_not_whole(data: bytes, head: bytes) -> None:
+def test_any_bytes_are_a_header_malformed_or_incomplete(data: bytes, head: bytes) -> None:
     try:
         found = parse_proxy_header(head + data)
     except ProxyHeaderError:
@@ -70,7 +70,7 @@
         assert length <= len(head + data) and (address is None or len(address) in (4, 16))
 
 
-def test_a_header_that_comes_byte_by_byte_is_the_same() -> None:
+def test_header_that_arrives_byte_by_byte_is_parsed_the_same() -> None:
     line = b"PROXY TCP6 2001:db8::1 ::1 5000 9200\r\n"
     for cut in range(len(line)):
         assert parse_proxy_header(line[:cut]) is None
--- a/tests/admission/test_sockets.py
+++ b/tests/admission/test_sockets.py
@@ -98,7 +98,7 @@
     return found
 
 
-def test_a_flood_of_5000_connections_while_a_known_client_queries(run: Running) -> None:
+def test_flood_of_5000_connections_is_answered_while_a_known_client_is_served(run: Running) -> None:
     """Each of the flood's connections has its final answer; the known client and an ordinary one never notice."""
     came: Counter[int] = Counter()
     over = threading.Event()
@@ -139,7 +139,7 @@
     assert 0 < len(refusals) < 400  # sampled: a flood of refusals is no flood of lines
 
 
-def test_a_flood_that_stops_leaves_nothing_behind(run: Running) -> None:
+def test_flood_that_stops_leaves_no_state(run: Running) -> None:
     for _ in range(3):
         socks = [connect(run.service.server.port, "127.0.0.66") for _ in range(200)]
         for sock in socks:
@@ -153,7 +153,7 @@
     assert at(run, "127.0.0.66")("GET", "/reports/_count").status == 200
 
 
-def test_connections_opened_and_never_used_are_closed_without_a_word(run: Running) -> None:
+def test_connections_opened_and_never_used_are_closed_without_an_answer(run: Running) -> None:
     fill(run, "127.0.0.66", 20)
     silent = [Client(connect(run.service.server.port, "127.0.0.66")) for _ in range(10)]
     for each in silent:
@@ -161,7 +161,7 @@
     assert view(run)["silent"]["silent in the lane"] == 10
 
 
-def test_both_fronts_refuse_in_their_own_words(run: Running) -> None:
+def test_both_frontends_reject_in_their_own_protocol(run: Running) -> None:
     fill(run, "127.0.0.66", 20)
     assert run.service.graph_server is not None
     client = Client(connect(run.service.graph_server.port, "127.0.0.66"))
@@ -181,7 +181,7 @@
     )
 
 
-def test_a_refusal_reaches_a_client_that_is_still_sending(run: Running) -> None:
+def test_rejection_reaches_a_client_that_is_still_sending(run: Running) -> None:
     fill(run, "127.0.0.66", 20)
     client = at(run, "127.0.0.66")
     client.sock.sendall(
@@ -193,7 +193,7 @@
     until(lambda: view(run)["lane"] == 0)
 
 
-def test_a_key_opens_a_seat_where_its_address_has_none(run: Running) -> None:
+def test_api_key_admits_where_its_address_is_over_its_limit(run: Running) -> None:
     held = fill(run, "127.0.0.66", 20)
     client = at(run, "127.0.0.66")
     assert client("POST", SEARCH, None, KEYED).status == 200
@@ -205,7 +205,7 @@
     assert held[0]("GET", "/reports/_count").status == 200
 
 
-def test_when_seats_run_out_the_heaviest_loses_its_idlest_and_nobody_a_query(run: Running) -> None:
+def test_full_slots_evict_the_longest_idle_connection_and_no_query(run: Running) -> None:
     """48 of 60 seats are for the unknown: taken by three addresses, one of which has a query in work."""
     gate = threading.Event()
     heavy = fill(run, "127.0.1.1", 20)
@@ -235,7 +235,7 @@
     assert view(run)["silent"]["idle, shed"] == 1
 
 
-def test_known_clients_have_their_reserve_when_all_else_is_taken(run: Running) -> None:
+def test_known_clients_have_their_reserve_when_all_other_slots_are_taken(run: Running) -> None:
     kept = [fill(run, f"127.0.2.{each}", 1) for each in range(1, 49)]
     assert view(run)["seats"]["unknown"] == 48
     assert at(run, "127.0.3.1")("GET", "/reports/_count").status == 429
@@ -246,7 +246,7 @@
     assert more("POST", SEARCH).status == 200 and view(run)["seats"]["unknown"] == 47
 
 
-def test_a_known_client_that_misbehaves_is_bound_as_well(run: Running) -> None:
+def test_known_client_that_floods_is_limited_as_well(run: Running) -> None:
     answers = []
     kept = []
     for _ in range(100):
@@ -262,7 +262,7 @@
     )
 
 
-def test_thousands_of_pipelined_requests_on_one_connection(run: Running) -> None:
+def test_thousands_of_pipelined_requests_are_served_one_at_a_time(run: Running) -> None:
     """One is in work at a time, in their order; others are served meanwhile, and memory does not grow with them."""
     client = at(run, "127.0.0.7")
     reader: list[int] = []
@@ -281,7 +281,7 @@
     assert reader == [200] * 2000 and most <= 2
 
 
-def test_what_was_answered_holds_no_bytes_though_the_next_has_begun(run: Running) -> None:
+def test_answered_request_releases_its_bytes_though_the_next_has_begun(run: Running) -> None:
     client = at(run, "127.0.0.7")
     body = b'{"query": {"match_all": {}}}' + b" " * 30_000
     first = b"POST /reports/_count HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n"
@@ -301,7 +301,7 @@
     ],
     ids=["header", "body"],
 )
-def test_slow_senders_that_hold_every_seat_are_told_and_closed(tmp_path: Path, head: bytes) -> None:
+def test_slow_senders_in_every_slot_are_answered_and_closed(tmp_path: Path, head: bytes) -> None:
     """A byte now and then is no progress: each gets its 408, and the seats are free again."""
     with gated(tmp_path, grace='"300ms"', progress=1000, connections=25, reserve=0.0) as run:
         slow = [at(run, f"127.0.4.{each % 5 + 1}") for each in range(25)]
@@ -335,7 +335,7 @@
         assert at(run, "127.0.5.1")("GET", "/reports/_count").status == 200
 
 
-def test_a_slow_reader_of_a_large_answer_is_closed(tmp_path: Path) -> None:
+def test_slow_reader_of_a_large_answer_is_closed(tmp_path: Path) -> None:
     with gated(tmp_path, grace='"300ms"', progress=5_000_000) as run:
 
         def large(call: Call) -> None:
@@ -386,7 +386,7 @@
         assert run.call(lambda: len(run.service.server.connections)) == 0
 
 
-def test_a_reload_that_lowers_caps_under_present_use_drops_nobody(run: Running) -> None:
+def test_limits_lowered_under_present_use_drop_no_connection(run: Running) -> None:
     from dataclasses import replace
 
     held = fill(run, "127.0.0.66", 20)
@@ -423,7 +423,7 @@
         yield running
 
 
-def test_caps_go_by_the_address_that_a_trusted_proxy_tells(behind: Running) -> None:
+def test_limits_go_by_the_address_in_a_trusted_proxys_header(behind: Running) -> None:
     line = b"PROXY TCP4 203.0.113.7 127.0.0.1 5000 9200\r\n"
     clients = [proxied(behind, line) for _ in range(5)]
     assert (
@@ -457,12 +457,12 @@
         b"PROXY TCP4 1.2.3.4 5.6.7.8 1 70000\r\n",
     ],
 )
-def test_malformed_proxy_headers_are_a_400(behind: Running, header: bytes) -> None:
+def test_malformed_proxy_headers_are_answered_with_400(behind: Running, header: bytes) -> None:
     assert proxied(behind, header).read().status == 400
     assert proxied(behind, b"PROXY UNKNOWN\r\n")("GET", "/reports/_count").status == 200
 
 
-def test_a_stranger_s_proxy_line_and_forwarded_headers_are_not_believed(behind: Running) -> None:
+def test_untrusted_peers_proxy_line_and_forwarded_headers_are_ignored(behind: Running) -> None:
     stranger = at(behind, "127.0.0.77")
     stranger.sock.sendall(b"PROXY TCP4 203.0.113.7 127.0.0.1 5000 9200\r\n")
     assert stranger.read().status == 400
@@ -481,7 +481,7 @@
     assert sorted(spoofed) == [200] * 3 + [429]
 
 
-def test_budgets_go_by_the_client_that_a_trusted_proxy_names(tmp_path: Path) -> None:
+def test_budgets_go_by_the_client_in_a_trusted_proxys_header(tmp_path: Path) -> None:
     with gated(tmp_path, trusted='["127.0.0.1/32"]') as run:
         run.call(lambda: set_limits(run, rate=0.001, burst=2.0))
         assert run.service.graph_server is not None
@@ -501,7 +501,7 @@
 # --- operators
 
 
-def test_bans_and_allowances_are_kept_over_a_restart_and_damage_is_told(tmp_path: Path) -> None:
+def test_bans_and_allowances_survive_a_restart_and_damage_is_logged(tmp_path: Path) -> None:
     state = {"state": '"admission.state"'}
     with gated(tmp_path, **state) as run:
         admin = run.service.administer
@@ -598,7 +598,9 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def test_a_limit_of_128_is_reached_and_held_and_known_clients_are_served(tmp_path: Path) -> None:
+def test_descriptor_limit_of_128_is_never_exceeded_and_known_clients_are_served(
+    tmp_path: Path,
+) -> None:
     """Hundreds of addresses take all seats and keep asking for more: budgets hold, nothing spins, and the boxes' side
     has its part.
     """
@@ -646,7 +648,7 @@
         assert Client(connect(port, "127.0.20.1"))("GET", "/reports/_count").status == 200
 
 
-def test_when_descriptors_run_out_all_the_same_the_spare_one_lets_refusals_leave(
+def test_spare_descriptor_answers_connections_when_descriptors_run_out(
     tmp_path: Path,
 ) -> None:
     """The limit is lowered under a running broker: accept fails, and whoever waits is told, not left waiting."""
--- a/tests/zones/test_policy.py
+++ b/tests/zones/test_failover.py
@@ -111,14 +111,14 @@
     return world.zones.limits.allowed_rate(world.zones.now, name)
 
 
-def test_all_sound_nothing_is_narrowed_or_shed() -> None:
+def test_healthy_zones_are_not_narrowed_and_nothing_is_shed() -> None:
     world = World()
     world.run(20)
     assert world.refused == 0 and not world.zones.take_changes()
     assert world.rate("a", 10) == pytest.approx(50, rel=0.2)
 
 
-def test_a_lost_zones_load_spills_up_to_the_bound_and_no_further() -> None:
+def test_lost_zones_load_spills_over_up_to_the_limit() -> None:
     world = World("abc")
     world.run(30, rate=90)
     world.down = {"c"}
@@ -137,7 +137,7 @@
     assert world.refused > 0
 
 
-def test_the_way_back_is_stepwise_and_ends_within_twice_the_warm_up() -> None:
+def test_recovery_is_stepwise_and_ends_within_twice_the_warm_up() -> None:
     world = World()
     world.run(20)
     world.down = {"b"}
@@ -155,7 +155,7 @@
     assert world.rate("b", 5) == pytest.approx(50, rel=0.25)
 
 
-def test_a_zone_that_was_only_cut_off_begins_with_half() -> None:
+def test_zone_that_was_only_cut_off_begins_with_half_of_its_baseline() -> None:
     world = World()
     world.run(20)
     world.down = {"b"}
@@ -166,7 +166,7 @@
     assert world.zones.zone("b").health.ramp.fraction == pytest.approx(0.5)
 
 
-def test_a_zone_that_flaps_comes_back_more_slowly_each_time() -> None:
+def test_zone_that_flaps_recovers_more_slowly_each_time() -> None:
     world = World()
     world.run(20)
     steps = []
@@ -183,7 +183,7 @@
     assert world.state("b") is ZoneState.HEALTHY and world.zones.zone("b").health.ramp.relapses == 0
 
 
-def test_half_a_zone_is_left_to_the_module() -> None:
+def test_zone_with_half_of_its_servers_lost_stays_healthy() -> None:
     world = World()
     world.run(10)
     world.down = {"b0", "b1"}
@@ -191,7 +191,7 @@
     assert world.state("b") is ZoneState.HEALTHY
 
 
-def test_answered_questions_do_not_bring_a_dark_zone_back() -> None:
+def test_answered_health_checks_do_not_start_a_recovery() -> None:
     world = World()
     world.run(10)
     world.down = {"b"}
@@ -202,7 +202,7 @@
     assert world.state("b") is ZoneState.UNAVAILABLE
 
 
-def test_a_slow_zone_that_answers_is_not_dark() -> None:
+def test_slow_zone_that_answers_stays_healthy() -> None:
     world = World()
     world.run(10)
     for _ in range(200):
@@ -214,7 +214,7 @@
     assert world.state("b") is ZoneState.HEALTHY
 
 
-def test_parts_called_off_at_silent_boxes_make_a_zone_dark() -> None:
+def test_cancelled_parts_at_silent_servers_make_a_zone_unavailable() -> None:
     world = World()
     world.run(10)
     for _ in range(40):
@@ -224,7 +224,7 @@
     assert world.state("b") is ZoneState.UNAVAILABLE
 
 
-def test_parts_called_off_at_boxes_that_answer_others_say_nothing() -> None:
+def test_cancelled_parts_at_servers_that_answer_others_are_no_evidence() -> None:
     world = World()
     world.run(10)
     for _ in range(40):
@@ -236,7 +236,7 @@
     assert world.state("b") is ZoneState.HEALTHY
 
 
-def test_one_box_that_loses_all_is_no_dark_zone() -> None:
+def test_one_server_that_loses_all_leaves_its_zone_healthy() -> None:
     world = World()
     world.run(10)
     for _ in range(100):
@@ -245,7 +245,7 @@
     assert world.state("b") is ZoneState.HEALTHY
 
 
-def test_parts_called_off_quickly_say_nothing() -> None:
+def test_quickly_cancelled_parts_are_no_evidence() -> None:
     world = World()
     world.run(10)
     for _ in range(200):
@@ -255,7 +255,7 @@
     assert world.state("b") is ZoneState.HEALTHY
 
 
-def test_trials_of_a_dark_zone_are_few_and_never_of_unsafe_parts() -> None:
+def test_trials_of_an_unavailable_zone_are_few_and_of_safe_parts_only() -> None:
     world = World()
     world.run(20)
     world.down = {"b"}
@@ -269,7 +269,7 @@
     assert 1 <= len(world.sent["b"]) - before <= 20
 
 
-def test_shards_whose_last_copies_are_in_the_dark_zone_get_a_trickle() -> None:
+def test_shards_with_their_last_replicas_in_an_unavailable_zone_get_a_trickle() -> None:
     world = World()
     world.run(20)
     world.down = {"b"}
@@ -284,7 +284,7 @@
     )
 
 
-def test_all_zones_lost_then_one_back() -> None:
+def test_one_zone_recovers_after_all_were_lost() -> None:
     world = World()
     world.run(20)
     world.down = {"a", "b"}
@@ -296,7 +296,7 @@
     assert world.rate("b", 2) > 5
 
 
-def test_a_clock_that_jumps_back_or_far_ahead_does_no_harm() -> None:
+def test_clock_step_back_or_far_ahead_is_at_most_one_step_of_the_ramp() -> None:
     world = World()
     world.run(20)
     world.down = {"b"}
@@ -314,7 +314,7 @@
     assert world.zones.now > world.now  # time stood still for it, and nothing broke
 
 
-def test_a_zone_off_the_list_is_dark_at_once_and_tried_when_it_is_listed_again() -> None:
+def test_delisted_zone_is_unavailable_at_once_and_tried_when_listed_again() -> None:
     world = World()
     world.run(10)
     world.zones.update_endpoints(world.now, [each for each in world.entries if each.zone == "a"])
@@ -324,7 +324,7 @@
     assert world.state("b") is ZoneState.RECOVERING
 
 
-def test_worthier_queries_come_first_and_none_is_shut_out() -> None:
+def test_higher_priorities_are_admitted_first_and_none_is_shut_out() -> None:
     world = World()
     world.run(20)
     world.down = {"b"}
@@ -338,7 +338,7 @@
     assert admitted[16.0] > 0.9 * 2000 and admitted[16.0] > admitted[4.0] > admitted[1.0] > 20
 
 
-def test_a_tenant_over_its_share_is_shed_before_others() -> None:
+def test_tenant_over_its_quota_is_shed_before_others() -> None:
     world = World()
     world.run(20)
     world.down = {"b"}
@@ -352,7 +352,7 @@
     assert kept[False] > 1.5 * kept[True] > 0
 
 
-def test_advice_is_spread_over_time() -> None:
+def test_retry_after_is_spread_over_time() -> None:
     world = World()
     world.run(20)
     world.down = {"b"}
@@ -367,7 +367,7 @@
     assert max(counts) < 2 * min(counts)
 
 
-def test_brokers_with_unequal_load_add_up_within_the_bound() -> None:
+def test_brokers_with_unequal_load_add_up_within_the_limit() -> None:
     worlds = [World(seed=seed) for seed in range(4)]
     rates = [20, 60, 120, 300]
     for world, rate in zip(worlds, rates, strict=True):
@@ -380,7 +380,7 @@
     assert limits <= worlds[0].zones.derived.spill * sum(rates) / 2 * 1.2
 
 
-def test_a_zone_that_turns_work_away_bears_less() -> None:
+def test_zone_that_rejects_parts_gets_less() -> None:
     world = World()
     world.run(20)
     world.down = {"b"}
@@ -401,7 +401,7 @@
     assert allowed_rate(world, "a") == pytest.approx(before, rel=0.05)
 
 
-def test_a_step_on_the_way_back_that_fails_takes_half_of_it_away() -> None:
+def test_failed_step_halves_the_recovery_ramp() -> None:
     world = World(boxes=6)
     world.run(20)
     world.down = {"b"}
@@ -415,7 +415,7 @@
     assert health.state is ZoneState.RECOVERING and health.ramp.fraction == pytest.approx(ramp / 2)
 
 
-def test_tiers_are_by_settings_then_by_the_measured_way() -> None:
+def test_tiers_are_by_settings_then_by_measured_round_trip() -> None:
     zones = ZoneFailover(ZoneSettings("a", (("a", "b"),)), SHARE, COLD, AIM, 1)
     zones.update_endpoints(100.0, [ServerEntry(name, name, 0, ServerState.LIVE) for name in "abcd"])
     zones.on_health_check(100.1, "c", 0.005, True)
@@ -429,7 +429,7 @@
 @pytest.mark.parametrize(
     ("zones", "spill"), [(2, 4.0), (3, 3.0), (10, 2 * 10 / 9), (50, 2 * 50 / 49)]
 )
-def test_the_derived_bound(zones: int, spill: float) -> None:
+def test_derived_spill_over_limit_follows_the_number_of_zones(zones: int, spill: float) -> None:
     assert derive_settings(
         FailoverSettings(), zones, WarmUp(SHARE, COLD), AIM
     ).spill == pytest.approx(spill)
@@ -448,7 +448,7 @@
 
 @settings(max_examples=25, deadline=None)
 @given(EVENTS, st.integers(0, 5))
-def test_generated_days_never_pass_the_bound_and_always_come_to_rest(
+def test_generated_days_never_exceed_the_limit_and_end_healthy(
     events: list[tuple[str, object, int]], seed: int
 ) -> None:
     """While a zone is not sound, no other gets more than its bound and a burst; after the last event all is sound."""
--- a/tests/zones/test_sockets.py
+++ b/tests/zones/test_sockets.py
@@ -68,7 +68,7 @@
     return [each["new"] for each in changes(folder, broker) if each["zone"] == zone]
 
 
-def test_the_rules_hold_through_the_hard_cases_in_three_zones(hard: Path) -> None:
+def test_rules_hold_through_the_hard_cases_in_three_zones(hard: Path) -> None:
     reports = audit(Records.load(hard))
     assert [report.breaches for report in reports] == [[]] * 6
 
@@ -89,12 +89,12 @@
     return sum(status in (200, 201) for status in statuses) / len(statuses)
 
 
-def test_a_zone_cut_off_from_brokers_for_different_times_costs_no_answers(hard: Path) -> None:
+def test_zone_cut_off_from_brokers_for_different_times_costs_no_answers(hard: Path) -> None:
     assert good_share(hard, 5.0, 10.0) >= 0.8
 
 
 @pytest.mark.parametrize("broker", [0, 1])
-def test_half_a_zone_and_a_slow_one_are_not_dark(hard: Path, broker: int) -> None:
+def test_half_lost_zone_and_slow_zone_stay_available(hard: Path, broker: int) -> None:
     """B only once all of it is gone; a, if at all, after that: when all are lost."""
     dark = [each for each in changes(hard, broker) if each["new"] == "dark"]
     order = [each["zone"] for each in dark]
@@ -118,7 +118,7 @@
     ]
 
 
-def test_the_rules_hold_while_a_zone_flaps(folder: Path) -> None:
+def test_rules_hold_while_a_zone_flaps(folder: Path) -> None:
     reports = audit(Records.load(folder))
     assert [report.breaches for report in reports] == [[]] * 6
     cold = reports[3]
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("broker", [0, 1])
-def test_each_broker_sees_the_loss_and_the_way_back_and_says_why(folder: Path, broker: int) -> None:
+def test_each_broker_logs_loss_and_recovery_with_reasons(folder: Path, broker: int) -> None:
     seen = [(each["old"], each["new"]) for each in changes(folder, broker) if each["zone"] == "b"]
     assert seen[0] == ("sound", "dark") and ("dark", "returning") in seen
     assert sum(new == "dark" for _, new in seen) >= 2
@@ -137,7 +137,7 @@
     assert again["relapses"] >= 1
 
 
-def test_a_zone_that_answers_questions_and_no_work_is_dark(folder: Path) -> None:
+def test_zone_that_answers_health_checks_and_no_parts_is_unavailable(folder: Path) -> None:
     """For one of the brokers at the least: the other may send too little there in so short a time to tell."""
     seen = [
         (each["old"], each["new"])
