--- a/tests/leases/test_model.py
+++ b/tests/leases/test_model.py
@@ -11,16 +11,16 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 25))
-def test_a_random_day_breaks_nothing_and_ends_with_an_owner_for_each_job(seed: int) -> None:
+def test_a_random_day_violates_no_invariant_and_ends_with_a_holder_of_each_job(seed: int) -> None:
     fleet = random_day(seed)
     assert all(len(history) > 50 for history in fleet.committed.values())
 
 
-def test_the_same_seed_is_the_same_day() -> None:
+def test_the_same_seed_gives_the_same_day() -> None:
     assert random_day(5).trace == random_day(5).trace != random_day(6).trace
 
 
-def test_with_clocks_far_astray_two_may_hold_a_lease_and_still_nothing_is_lost_or_done_twice() -> (
+def test_with_clocks_far_beyond_the_drift_two_may_hold_a_lease_but_no_record_is_lost_or_repeated() -> (
     None
 ):
     """Rates differ by up to three times: the first line of defence breaks, the second holds alone."""
@@ -37,7 +37,7 @@
         return super().on_prepare(now, sender, request)
 
 
-def test_a_voter_that_heeds_no_lease_is_found() -> None:
+def test_a_voter_that_ignores_leases_is_detected() -> None:
     found = []
     for seed in range(1, 9):
         with pytest.raises(Breach) as caught:
@@ -62,7 +62,7 @@
     )
 
 
-def test_a_minority_of_voters_costs_nothing() -> None:
+def test_the_loss_of_a_minority_of_voters_moves_no_job() -> None:
     fleet = ready()
     owners = {owner_of(fleet, job) for job in fleet.jobs}
     free = [name for name in fleet.settings.voters if name not in owners][:2]
@@ -73,7 +73,7 @@
     assert fleet.longest < 0.3 and {owner_of(fleet, job) for job in fleet.jobs} == owners
 
 
-def test_a_dead_owner_is_followed_within_two_and_a_half_leases() -> None:
+def test_a_crashed_holder_is_succeeded_within_two_and_a_half_leases() -> None:
     for seed in range(1, 9):
         fleet = ready(seed=seed)
         fleet.longest = 0.0
@@ -82,7 +82,7 @@
         assert owner_of(fleet, "job0") and fleet.longest < 2.5 * fleet.settings.lease_seconds
 
 
-def test_a_job_that_is_handed_over_is_owned_again_within_fifty_milliseconds() -> None:
+def test_a_job_that_is_handed_over_has_a_holder_within_fifty_milliseconds() -> None:
     for seed in range(1, 9):
         fleet = ready(seed=seed)
         first = owner_of(fleet, "job0")
@@ -93,7 +93,7 @@
         assert owner_of(fleet, "job0") != first
 
 
-def test_with_the_majority_gone_nobody_owns_and_with_one_back_somebody_does() -> None:
+def test_without_a_majority_nobody_holds_a_lease_until_one_voter_returns() -> None:
     fleet = ready()
     for name in fleet.settings.voters[:3]:
         fleet.kill(name)
@@ -107,7 +107,7 @@
     assert owner_of(fleet, "job0")
 
 
-def test_with_the_majoritys_memory_gone_nobody_ever_owns_again_by_itself() -> None:
+def test_after_a_majority_lost_its_state_nobody_ever_holds_a_lease_again() -> None:
     fleet = ready()
     for name in fleet.settings.voters[:3]:
         fleet.kill(name, disk=False)
--- a/tests/leases/test_model_checker.py
+++ b/tests/leases/test_model_checker.py
@@ -163,7 +163,7 @@
 
 
 @pytest.mark.parametrize(("way", "scope"), [(WALK, NO_TIME), (WALK, TIME), (PHASES, NO_TIME)])
-def test_what_ships_breaks_nothing(way: str, scope: Scope) -> None:
+def test_the_protocol_violates_no_invariant(way: str, scope: Scope) -> None:
     found = search(way, scope)
     assert not found.breach, f"{found.breach}\n{story(found.trail)}"
     assert found.states >= 100_000
@@ -177,7 +177,7 @@
     ],
     ids=["clocks astray", "clocks in step"],
 )
-def test_what_ships_breaks_nothing_in_any_order_of_the_first_actions(scope: Scope) -> None:
+def test_the_protocol_violates_no_invariant_in_any_order_of_the_first_actions(scope: Scope) -> None:
     found = explore(scope, most=1200)
     assert not found.breach, f"{found.breach}\n{story(found.trail)}"
     assert found.states >= 1200 and found.deepest >= 4
@@ -207,7 +207,7 @@
         else (each.voter if each.voter is not LeaseVoter else each.owner).__name__
     ),
 )
-def test_a_planted_defect_is_found_and_its_trail_replays(
+def test_a_planted_defect_is_detected_and_its_trail_replays(
     way: str, scope: Scope, parts: Parts
 ) -> None:
     found = search(way, scope, parts)
@@ -249,7 +249,7 @@
     return world
 
 
-def test_an_answer_from_before_the_memory_was_lost_does_not_count() -> None:
+def test_a_reply_from_before_the_state_was_lost_commits_nothing() -> None:
     world = a_voter_loses_its_memory_between_two_answers(Parts())
     assert (1, 2) not in world.counted
     for _ in range(2):  # it hears of the first epoch, then asks for the second
@@ -259,7 +259,7 @@
 
 
 @pytest.mark.parametrize("defect", ["any reply counts", "the life stays"])
-def test_without_lives_that_answer_would_count_and_be_lost(defect: str) -> None:
+def test_without_incarnations_that_reply_would_commit_a_record_that_is_lost(defect: str) -> None:
     parts = Parts(KeepsItsIncarnation) if defect == "the life stays" else Parts()
     patched = any_voter if defect == "any reply counts" else quorum.valid_voters
     with patch.object(quorum, "valid_voters", patched):
@@ -320,7 +320,7 @@
         (a_voter_reads_others_on_its_way_back, Parts(ForgetsRecordsOfItsRecovery), (2, 1)),
     ],
 )
-def test_what_no_walk_finds_soon_is_found_by_hand(
+def test_a_defect_that_walks_seldom_reach_is_detected_by_a_script(
     script: Any, defect: Parts, last: tuple[int, int]
 ) -> None:
     assert last in script(Parts()).counted
@@ -328,7 +328,7 @@
         script(defect)
 
 
-def test_worlds_that_differ_in_names_only_are_one() -> None:
+def test_worlds_that_differ_in_names_only_have_one_key() -> None:
     one, other = World(NO_TIME, Parts()).begin(), World(NO_TIME, Parts()).begin()
     one.do(("claim", "x"))
     one.do(("lose", "A"))
--- a/tests/leases/test_processes.py
+++ b/tests/leases/test_processes.py
@@ -196,7 +196,7 @@
     return sorted(box.address for box in brokers.fleet.boxes if box.zone == "a")
 
 
-def test_one_owner_is_known_to_all_and_a_drain_takes_each_box_once(brokers: Owners) -> None:
+def test_all_brokers_know_one_holder_and_a_drain_takes_each_node_once(brokers: Owners) -> None:
     client = next(name for name in ("b3", "b4") if name != brokers.wait_owner())
     said = brokers.said(client, "--zone", "a", "--every", "300ms")
     assert said.returncode == 0, said.stderr
@@ -204,7 +204,7 @@
     check_steps(brokers.history(), zone_a(brokers))
 
 
-def test_a_killed_owner_is_followed_by_one_that_goes_on_with_the_drain(brokers: Owners) -> None:
+def test_a_killed_holder_is_succeeded_and_the_drain_continues(brokers: Owners) -> None:
     first = brokers.wait_owner()
     epoch = brokers.job(first)["epoch"]
     assert brokers.said("b3", "--zone", "a", "--every", "400ms").returncode == 0
@@ -219,7 +219,7 @@
     check_steps(brokers.history(restarted=(first,)), zone_a(brokers))
 
 
-def test_an_owner_that_wakes_after_two_successors_changes_nothing(brokers: Owners) -> None:
+def test_a_holder_that_resumes_after_two_successors_changes_nothing(brokers: Owners) -> None:
     first = brokers.wait_owner()
     watching = next(name for name in ("b3", "b4") if name != first)
     assert brokers.said(first, "--zone", "a", "--every", "400ms").returncode == 0
@@ -238,7 +238,7 @@
 
 
 @pytest.mark.measures_time
-def test_an_owner_that_stops_at_sigterm_hands_over_at_once(brokers: Owners) -> None:
+def test_a_holder_that_stops_at_sigterm_hands_over_at_once(brokers: Owners) -> None:
     first = brokers.wait_owner()
     brokers.end(first, by=signal.SIGTERM)
     second = brokers.wait_owner(but=first)
@@ -249,7 +249,9 @@
 
 
 @pytest.mark.parametrize("heard", [True, False])
-def test_an_owner_cut_off_in_one_direction_loses_the_job_once(brokers: Owners, heard: bool) -> None:
+def test_a_holder_cut_off_in_one_direction_loses_the_lease_once(
+    brokers: Owners, heard: bool
+) -> None:
     first = brokers.wait_owner()
     others = [name for name in brokers.names if name != first]
     if heard:  # the others hear it, it hears nobody
@@ -271,7 +273,9 @@
     brokers.history()
 
 
-def test_an_owner_in_the_smaller_part_stops_and_the_greater_part_goes_on(brokers: Owners) -> None:
+def test_a_holder_in_the_minority_partition_stops_and_the_majority_continues(
+    brokers: Owners,
+) -> None:
     first = brokers.wait_owner()
     small = [first] if first in VOTERS else [first, "b0"]
     great = [name for name in brokers.names if name not in small]
@@ -288,7 +292,7 @@
     check_steps(brokers.history(), zone_a(brokers))
 
 
-def test_with_most_voters_gone_nobody_owns_and_all_say_so_until_one_returns(
+def test_without_a_majority_all_brokers_show_no_holder_until_one_voter_returns(
     brokers: Owners,
 ) -> None:
     epoch = brokers.job("b4")["epoch"]
@@ -301,7 +305,9 @@
     assert brokers.job("b4")["epoch"] > epoch
 
 
-def test_all_voters_killed_at_once_remember_and_the_drain_goes_on(brokers: Owners) -> None:
+def test_all_voters_killed_at_once_keep_their_state_and_the_drain_continues(
+    brokers: Owners,
+) -> None:
     assert brokers.said("b3", "--zone", "a", "--every", "400ms").returncode == 0
     brokers.until(lambda: brokers.drains("b4")["steps"] >= 2)
     epoch = brokers.job("b4")["epoch"]
@@ -313,9 +319,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["empty", "flipped"])
-def test_a_voter_that_lost_its_memory_finds_its_way_back_and_votes(
-    brokers: Owners, trouble: str
-) -> None:
+def test_a_voter_that_lost_its_state_recovers_and_votes(brokers: Owners, trouble: str) -> None:
     life = brokers.owner_view("b1")["voter"]["life"]
     brokers.end("b1")
     if trouble == "empty":
@@ -342,7 +346,7 @@
     brokers.wait_owner(but=second)
 
 
-def test_a_voter_whose_disk_fails_says_nothing_more_and_the_others_go_on(brokers: Owners) -> None:
+def test_a_voter_whose_disk_fails_stops_voting_and_the_others_continue(brokers: Owners) -> None:
     os.rename(brokers.folder("b2"), brokers.folder("aside"))
     try:
         assert brokers.said("b3", "--zone", "a", "--every", "300ms").returncode == 0
@@ -358,7 +362,7 @@
     check_steps(brokers.history(restarted=("b2",)), zone_a(brokers))
 
 
-def test_a_rolling_restart_of_all_while_a_drain_runs(brokers: Owners) -> None:
+def test_a_drain_continues_through_a_rolling_restart_of_all_brokers(brokers: Owners) -> None:
     assert brokers.said("b3", "--zone", "a", "--every", "500ms").returncode == 0
     for name in brokers.names:
         brokers.end(name, by=signal.SIGTERM)
@@ -368,7 +372,7 @@
     check_steps(brokers.history(restarted=tuple(brokers.names)), zone_a(brokers))
 
 
-def test_orders_that_cannot_be_taken_are_refused_with_the_reason_and_change_nothing(
+def test_commands_that_cannot_be_taken_are_rejected_with_the_reason_and_change_nothing(
     brokers: Owners,
 ) -> None:
     before = brokers.job("b3")["version"]
@@ -402,7 +406,7 @@
     assert brokers.job("b3")["version"] == before
 
 
-def test_a_drain_can_be_stopped_continued_and_undone(brokers: Owners) -> None:
+def test_a_drain_can_be_paused_resumed_and_undone(brokers: Owners) -> None:
     assert brokers.said("b3", "--zone", "a", "--every", "30s", "--at-most", "2").returncode == 0
     brokers.until(lambda: len(brokers.drains("b0")["out"]) == 1)
     assert brokers.said("b1", "--stop").returncode == 0
