--- a/tests/leases/test_protocol.py
+++ b/tests/leases/test_protocol.py
@@ -137,8 +137,11 @@
     assert max(list(first.values()).count(name) for name in names) <= 60
 
 
-def new_voter() -> LeaseVoter:
-    return LeaseVoter("A", SETTINGS, messages.VoterState("stepknot", "A", 2, {}, []))
+def started_voter() -> LeaseVoter:
+    """It started long before time 0 and votes."""
+    voter = LeaseVoter("A", SETTINGS, messages.VoterState("stepknot", "A", 2, {}, []))
+    voter.start(-10.0)
+    return voter
 
 
 def elected_candidate() -> LeaseCandidate:
@@ -151,7 +154,7 @@
 
 
 def test_a_voter_promises_an_epoch_to_one_process_only() -> None:
-    voter = new_voter()
+    voter = started_voter()
     first = voter.receive(1.0, ProcessId("x", 1), messages.PrepareRequest("j", 3))
     other = voter.receive(1.0, ProcessId("x", 2), messages.PrepareRequest("j", 3))
     again = voter.receive(1.0, ProcessId("x", 1), messages.PrepareRequest("j", 3))
@@ -166,7 +169,7 @@
 def test_a_voter_accepts_only_under_its_promise_of_this_incarnation(
     sender: str, incarnation: int, epoch: int, accepted: bool
 ) -> None:
-    voter = new_voter()
+    voter = started_voter()
     voter.receive(1.0, ProcessId("x", 1), messages.PrepareRequest("j", 3))
     record = messages.LedgerRecord(epoch, 1, b"v")
     reply = voter.receive(
