--- a/bench/planted_defects/membership.py
+++ b/bench/planted_defects/membership.py
@@ -8,7 +8,7 @@
         original="        helpers |= dict.fromkeys(self._observers_of(names, others)[: count // 2])\n",
         replacement="        pass\n",
         tests=(
-            "tests/membership/test_decisions.py::test_those_that_watch_the_silent_one_are_asked_first",
+            "tests/membership/test_indirect_probes.py::test_observers_of_the_unresponsive_subject_are_asked_first",
         ),
     ),
     PlantedDefect(
@@ -16,7 +16,7 @@
         original="unknown.append(update.identity)",
         replacement="pass",
         tests=(
-            "tests/membership/test_decisions.py::test_of_a_process_long_known_only_what_changed_is_told_and_who_lacks_it_asks",
+            "tests/membership/test_dissemination.py::test_a_known_process_is_spread_as_a_short_update_and_an_unknown_one_is_requested",
         ),
     ),
     PlantedDefect(
@@ -24,7 +24,7 @@
         original="{record.port}\\n{record.process}",
         replacement="{record.port}",
         tests=(
-            "tests/membership/test_decisions.py::test_short_news_of_an_earlier_process_do_not_touch_the_one_that_took_its_name",
+            "tests/membership/test_dissemination.py::test_a_short_update_of_an_earlier_process_does_not_change_its_successor",
         ),
     ),
     PlantedDefect(
@@ -32,7 +32,7 @@
         original='wanted = b"".join(difference.missing_here[: wire.MAX_UPDATES])',
         replacement='wanted = b"".join(difference.missing_here[:0])',
         tests=(
-            "tests/membership/test_decisions.py::test_a_question_about_the_table_gets_what_is_missing_and_asks_for_what_is_lacking_here",
+            "tests/membership/test_dissemination.py::test_anti_entropy_sends_missing_records_and_requests_unknown_ones",
         ),
     ),
     PlantedDefect(
@@ -40,7 +40,7 @@
         original="if room < 0 or count == wire.MAX_UPDATES:",
         replacement="if count == wire.MAX_FULL_RECORDS:",
         tests=(
-            "tests/membership/test_decisions.py::test_names_of_four_bytes_a_letter_get_through_too",
+            "tests/membership/test_wire.py::test_names_of_four_byte_characters_are_disseminated",
         ),
     ),
     PlantedDefect(
@@ -48,7 +48,7 @@
         original="            and not self._isolation.is_isolated\n",
         replacement="",
         tests=(
-            "tests/membership/test_decisions.py::test_a_verdict_takes_three_others_word_and_a_death_that_the_judge_is_heard",
+            "tests/membership/test_suspicion.py::test_a_suspicion_takes_three_confirmations_and_a_death_a_member_that_is_not_isolated",
         ),
     ),
     PlantedDefect(
@@ -56,7 +56,7 @@
         original="if observation.last_received >= 0:\n                seen_at",
         replacement="if False:\n                seen_at",
         tests=(
-            "tests/membership/test_model.py::test_whom_one_watcher_does_not_hear_is_vouched_for_by_others_and_not_even_suspect",
+            "tests/membership/test_model.py::test_a_member_that_one_observer_does_not_receive_is_confirmed_by_helpers_and_not_suspect",
         ),
     ),
     PlantedDefect(
@@ -64,7 +64,7 @@
         original="if heartbeat.suspected_incarnation >= 0:",
         replacement="if False:",
         tests=(
-            "tests/membership/test_decisions.py::test_word_of_ones_own_death_is_answered_by_a_greater_incarnation",
+            "tests/membership/test_refutation.py::test_the_own_death_is_refuted_by_a_greater_incarnation",
         ),
     ),
     PlantedDefect(
@@ -72,7 +72,7 @@
         original="subject.shift(gap)",
         replacement="pass",
         tests=(
-            "tests/membership/test_decisions.py::test_time_that_a_member_stood_still_is_not_counted_as_others_silence",
+            "tests/membership/test_suspicion.py::test_the_own_pause_is_not_counted_as_silence_of_subjects",
         ),
     ),
     PlantedDefect(
@@ -80,21 +80,23 @@
         original="    if edges and 2 * (receive_me + 1) <= len(edges) + 1:\n",
         replacement="    if False:\n",
         tests=(
-            "tests/membership/test_model.py::test_who_hears_all_and_is_heard_by_nobody_learns_it_and_the_others_go_on",
+            "tests/membership/test_model.py::test_a_member_that_nobody_receives_becomes_isolated_and_the_others_go_on",
         ),
     ),
     PlantedDefect(
         path="stepknot/membership/anti_entropy.py",
         original="if dead:\n",
         replacement="if False:\n",
-        tests=("tests/membership/test_decisions.py::test_the_dead_are_called_now_and_then",),
+        tests=(
+            "tests/membership/test_dissemination.py::test_dead_members_are_contacted_now_and_then",
+        ),
     ),
     PlantedDefect(
         path="stepknot/membership/anti_entropy.py",
         original="if absent_seeds:\n",
         replacement="if False:\n",
         tests=(
-            "tests/membership/test_model.py::test_two_fleets_that_formed_apart_find_each_other_by_their_seeds",
+            "tests/membership/test_model.py::test_two_fleets_that_formed_apart_merge_by_their_seeds",
         ),
     ),
     PlantedDefect(
@@ -102,7 +104,7 @@
         original="if isolated_for > settings.tombstone / 2:",
         replacement="if False:",
         tests=(
-            "tests/membership/test_model.py::test_a_member_cut_off_for_long_takes_no_share_before_others_stop_counting_it",
+            "tests/membership/test_model.py::test_a_member_isolated_for_long_takes_no_share_before_others_stop_counting_it",
         ),
     ),
     PlantedDefect(
@@ -110,7 +112,7 @@
         original="not_left = sum(counts) - counts[State.LEFT]",
         replacement="not_left = sum(counts[: State.DEAD])",
         tests=(
-            "tests/membership/test_model.py::test_the_dead_are_counted_for_as_long_as_they_are_remembered",
+            "tests/membership/test_model.py::test_dead_members_count_while_their_tombstones_are_kept",
         ),
     ),
     PlantedDefect(
@@ -118,7 +120,7 @@
         original="return recent >= min(settings.min_confirmations, helper_count)",
         replacement="return True",
         tests=(
-            "tests/membership/test_decisions.py::test_a_verdict_takes_three_others_word_and_a_death_that_the_judge_is_heard",
+            "tests/membership/test_suspicion.py::test_a_suspicion_takes_three_confirmations_and_a_death_a_member_that_is_not_isolated",
         ),
     ),
     PlantedDefect(
@@ -126,7 +128,7 @@
         original="if self.saved - size < -borrow * self.burst:",
         replacement="if False:",
         tests=(
-            "tests/membership/test_decisions.py::test_a_flood_of_questions_is_answered_within_the_rate",
+            "tests/membership/test_join.py::test_a_flood_of_join_requests_is_answered_within_the_send_budget",
         ),
     ),
     PlantedDefect(
@@ -134,7 +136,7 @@
         original='            self._step_aside(\n                now,\n                f"another process',
         replacement='            str(\n                f"another process',
         tests=(
-            "tests/membership/test_decisions.py::test_of_two_living_processes_under_one_name_the_older_steps_aside_and_the_newer_stays",
+            "tests/membership/test_refutation.py::test_in_a_name_conflict_the_older_process_steps_aside_and_the_newer_stays",
         ),
     ),
     PlantedDefect(
@@ -142,21 +144,21 @@
         original="            not self._own.has_joined\n            or record.state in ABSENT_STATES\n",
         replacement="            record.state in ABSENT_STATES\n",
         tests=(
-            "tests/membership/test_model.py::test_a_restart_with_a_clock_set_back_takes_an_epoch_above_the_old_one",
+            "tests/membership/test_model.py::test_a_restart_with_a_clock_set_back_takes_a_greater_epoch",
         ),
     ),
     PlantedDefect(
         path="stepknot/membership/table.py",
         original="if old is not None and record.rank <= old.rank:",
         replacement="if old is not None and record == old:",
-        tests=("tests/membership/test_decisions.py::test_what_was_learnt_is_not_unlearnt",),
+        tests=("tests/membership/test_table.py::test_a_record_is_never_replaced_by_a_lesser_one",),
     ),
     PlantedDefect(
         path="stepknot/membership/table.py",
         original="return len(self.records) < self.max_records",
         replacement="return True",
         tests=(
-            "tests/membership/test_decisions.py::test_ten_thousand_invented_members_take_no_more_room_than_the_bound_and_old_ones_stay",
+            "tests/membership/test_table.py::test_ten_thousand_invented_members_stay_within_max_records_and_evict_no_known_member",
         ),
     ),
     PlantedDefect(
@@ -164,7 +166,7 @@
         original="if len(data) > MAX_DATAGRAM_BYTES:",
         replacement="if False:",
         tests=(
-            "tests/membership/test_decisions.py::test_what_is_absurd_is_counted_and_changes_nothing",
+            "tests/membership/test_wire.py::test_malformed_datagrams_are_counted_by_reason_and_change_nothing",
         ),
     ),
     PlantedDefect(
@@ -172,7 +174,7 @@
         original="if envelope.fleet != fleet:",
         replacement="if False:",
         tests=(
-            "tests/membership/test_decisions.py::test_what_is_absurd_is_counted_and_changes_nothing",
+            "tests/membership/test_wire.py::test_malformed_datagrams_are_counted_by_reason_and_change_nothing",
         ),
     ),
     PlantedDefect(
@@ -180,7 +182,7 @@
         original="between[other] = None",
         replacement="pass",
         tests=(
-            "tests/membership/test_decisions.py::test_watching_is_mutual_and_everybody_has_watchers",
+            "tests/membership/test_rings.py::test_observation_is_mutual_and_every_member_has_observers",
         ),
     ),
     PlantedDefect(
@@ -188,7 +190,7 @@
         original="address, request, self._outbox.probe_request_borrow)",
         replacement="address, request, ANSWER_BORROW)",
         tests=(
-            "tests/membership/test_model.py::test_a_third_lost_at_once_is_known_to_all_also_where_little_may_be_sent",
+            "tests/membership/test_model.py::test_the_failure_of_a_third_is_detected_by_all_also_with_a_small_send_budget",
         ),
     ),
     PlantedDefect(
@@ -196,7 +198,7 @@
         original="max(PROBE_REQUEST_RESERVE * self.repair_borrow, -MAX_RESERVE)",
         replacement="0.0",
         tests=(
-            "tests/membership/test_decisions.py::test_where_little_is_left_of_the_rate_repairs_go_and_questions_wait",
+            "tests/membership/test_indirect_probes.py::test_with_little_send_budget_repairs_are_sent_and_probe_requests_wait",
         ),
     ),
     PlantedDefect(
@@ -204,7 +206,7 @@
         original="self._answer(now, requester, observations, borrow=0.0)",
         replacement="self._answer(now, requester, observations)",
         tests=(
-            "tests/membership/test_decisions.py::test_word_that_nothing_was_heard_borrows_nothing",
+            "tests/membership/test_indirect_probes.py::test_an_answer_without_a_sign_of_life_borrows_no_budget",
         ),
     ),
     PlantedDefect(
@@ -212,7 +214,7 @@
         original="                self._heartbeats.ping(now, each.name)",
         replacement="                self._heartbeats.send(now, each.name, reply_requested=True, borrow=0.0)",
         tests=(
-            "tests/membership/test_decisions.py::test_whoever_is_asked_pings_the_silent_one_also_with_nothing_saved",
+            "tests/membership/test_indirect_probes.py::test_a_helper_pings_the_subject_also_without_saved_budget",
         ),
     ),
     PlantedDefect(
@@ -220,7 +222,7 @@
         original="found.sort(key=lambda other: answered_at",
         replacement="str(lambda other: answered_at",
         tests=(
-            "tests/membership/test_decisions.py::test_others_are_asked_in_turn_so_that_none_is_left_out_for_long",
+            "tests/membership/test_indirect_probes.py::test_helpers_are_asked_in_turn_so_that_none_is_left_out_for_long",
         ),
     ),
     PlantedDefect(
@@ -228,7 +230,7 @@
         original="min(WIDE_FACTOR * settings.probe_helpers, helper_count)",
         replacement="0",
         tests=(
-            "tests/membership/test_decisions.py::test_where_many_are_lost_at_once_more_others_must_have_heard_nothing",
+            "tests/membership/test_suspicion.py::test_when_many_fail_at_once_a_death_takes_more_confirmations",
         ),
     ),
     PlantedDefect(
@@ -236,7 +238,7 @@
         original="sender.address, records, ANSWER_BORROW)",
         replacement="sender.address, records)",
         tests=(
-            "tests/membership/test_model.py::test_many_that_join_at_once_are_let_in_by_seeds_that_were_there_before",
+            "tests/membership/test_model.py::test_many_members_that_join_at_once_are_admitted_by_earlier_seeds",
         ),
     ),
 ]
--- a/tests/config/test_membership.py
+++ b/tests/config/test_membership.py
@@ -32,7 +32,7 @@
     return path
 
 
-def test_without_the_block_or_switched_off_there_is_no_membership(tmp_path: Path) -> None:
+def test_without_the_block_or_disabled_there_is_no_membership(tmp_path: Path) -> None:
     assert load(written(tmp_path, "")).peers is None
     assert (
         load(written(tmp_path, BLOCK.replace("peers {", "peers {\n  enabled = false"))).peers
@@ -40,7 +40,7 @@
     )
 
 
-def test_the_block_is_read_and_the_rest_has_defaults(tmp_path: Path) -> None:
+def test_the_peers_block_is_read_and_other_settings_have_defaults(tmp_path: Path) -> None:
     peers = load(written(tmp_path, BLOCK)).peers
     assert peers is not None and peers.name == "b0" and peers.listen == ("127.0.0.1", 9600)
     assert (
@@ -68,7 +68,9 @@
         ('name   = "b0"', "gossip = 3", "peers.gossip"),
     ],
 )
-def test_what_is_wrong_is_told_with_its_line(tmp_path: Path, old: str, new: str, key: str) -> None:
+def test_a_wrong_setting_of_peers_is_reported_with_its_line(
+    tmp_path: Path, old: str, new: str, key: str
+) -> None:
     path = written(tmp_path, BLOCK.replace(old, new))
     with pytest.raises(ConfigError) as caught:
         load(path)
@@ -79,7 +81,7 @@
     )
 
 
-def test_an_address_that_is_taken_ends_the_command_with_2(tmp_path: Path) -> None:
+def test_an_address_in_use_ends_serve_with_exit_code_2(tmp_path: Path) -> None:
     fleet = Fleet.plan(tmp_path, 1, 0, 0, with_peers=True)
     fleet.write_settings()
     fleet.write_list()
@@ -95,12 +97,12 @@
     assert run.returncode == 2 and "cannot listen" in run.stderr and "Traceback" not in run.stderr
 
 
-def test_nobody_there_or_an_unknown_name_ends_the_command_with_2(tmp_path: Path) -> None:
+def test_an_unreachable_broker_ends_members_with_exit_code_2(tmp_path: Path) -> None:
     run = CliRunner().invoke(cli, ["peers", "127.0.0.1:1"])
     assert run.exit_code == 2 and "127.0.0.1:1" in run.output
 
 
-def test_the_table_and_the_evidence_show_what_is_known() -> None:
+def test_the_members_table_and_the_evidence_show_the_view() -> None:
     row = {
         "name": "b1",
         "state": "suspect",
--- a/tests/membership/test_model.py
+++ b/tests/membership/test_model.py
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("size", [3, 7, 20, 60])
-def test_a_crash_is_known_to_all_and_nobody_else_is_held_dead(size: int) -> None:
+def test_a_crash_is_detected_by_all_and_no_other_member_is_declared_dead(size: int) -> None:
     model = ready(size, seed=size)
     at = model.now
     model.kill("b1")
@@ -85,7 +85,7 @@
     )  # it may live on, cut off: it counts still
 
 
-def test_the_dead_are_counted_for_as_long_as_they_are_remembered() -> None:
+def test_dead_members_count_while_their_tombstones_are_kept() -> None:
     """They may live on, cut off, and take their share."""
     model = ready(settings=MembershipSettings(tombstone=30.0))
     model.run(35.0)  # from here on the configured number does not count any more
@@ -96,7 +96,7 @@
     assert counts(model, "b2") == MemberCount(SIZE - 1, SIZE - 1, True)
 
 
-def test_a_leave_is_told_and_is_no_death() -> None:
+def test_a_leave_is_announced_and_is_no_death() -> None:
     model = ready(settings=MembershipSettings(tombstone=30.0))
     at = model.now
     model.leave("b3")
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("address", [None, ("127.0.0.1", 500)])
-def test_a_restart_with_a_clock_set_back_takes_an_epoch_above_the_old_one(
+def test_a_restart_with_a_clock_set_back_takes_a_greater_epoch(
     address: tuple[str, int] | None,
 ) -> None:
     model = ready()
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_loss_of_three_in_ten_copies_and_overtaking_hold_nobody_dead(seed: int) -> None:
+def test_loss_of_three_in_ten_duplicates_and_reordering_cause_no_false_death(seed: int) -> None:
     model = ready(seed=seed)
     model.network.loss, model.network.copies, model.network.late = 0.3, 0.2, 0.1
     at = model.now
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_fifth_that_stands_still_for_up_to_five_seconds_is_not_held_dead(seed: int) -> None:
+def test_a_fifth_that_pauses_for_up_to_five_seconds_is_not_declared_dead(seed: int) -> None:
     model = ready(seed=seed)
     at = model.now
     for begin in range(0, 120, 10):
@@ -146,7 +146,7 @@
     assert settle(model, 15.0) is not None
 
 
-def test_who_stood_still_too_long_is_held_dead_holds_nobody_dead_and_comes_back() -> None:
+def test_a_member_paused_for_too_long_is_declared_dead_declares_nobody_dead_and_rejoins() -> None:
     model = ready()
     at = model.now
     model.pause("b5", 8.0)
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.parametrize("share", [0.6, 1.0])
-def test_when_most_or_all_stand_still_nobody_is_held_dead(share: float) -> None:
+def test_when_most_or_all_members_pause_nobody_is_declared_dead(share: float) -> None:
     model = ready()
     at = model.now
     for number in range(int(SIZE * share)):
@@ -187,7 +187,7 @@
 
 @pytest.mark.parametrize("kind", ONE_SIDED)
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_one_sided_cut_that_leaves_a_majority_takes_nobody_out(kind: str, seed: int) -> None:
+def test_a_one_sided_cut_that_leaves_a_majority_causes_no_death(kind: str, seed: int) -> None:
     model = ready(seed=seed)
     at = model.now
     model.network.cut = ONE_SIDED[kind]
@@ -197,7 +197,9 @@
     assert settle(model, 15.0) is not None
 
 
-def test_whom_one_watcher_does_not_hear_is_vouched_for_by_others_and_not_even_suspect() -> None:
+def test_a_member_that_one_observer_does_not_receive_is_confirmed_by_helpers_and_not_suspect() -> (
+    None
+):
     model = ready()
     at = model.now
     watcher = next(iter(model.processes["b1"].member.view.neighbours))  # type: ignore[attr-defined]
@@ -206,7 +208,7 @@
     assert not told(model, "b1", State.SUSPECT, at)
 
 
-def test_two_fleets_that_formed_apart_find_each_other_by_their_seeds() -> None:
+def test_two_fleets_that_formed_apart_merge_by_their_seeds() -> None:
     model = Model(SIZE, 4)
     other = {f"b{number}" for number in range(2, SIZE, 2)}  # of the three seeds one is among them
     part(model, other)
@@ -216,7 +218,7 @@
     assert settle(model, 15.0) is not None
 
 
-def test_who_hears_all_and_is_heard_by_nobody_learns_it_and_the_others_go_on() -> None:
+def test_a_member_that_nobody_receives_becomes_isolated_and_the_others_go_on() -> None:
     model = ready()
     at = model.now
     model.network.cut = lambda source, target: source == "b1"
@@ -228,7 +230,7 @@
     assert settle(model, 15.0) is not None
 
 
-def test_who_hears_nobody_and_is_heard_by_all_stays_a_member_and_holds_nobody_dead() -> None:
+def test_a_member_that_receives_nothing_but_is_received_stays_and_declares_nobody_dead() -> None:
     model = ready()
     at = model.now
     model.network.cut = lambda source, target: target == "b1"
@@ -240,7 +242,7 @@
 
 @pytest.mark.parametrize("smaller", [9, 10])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_only_the_greater_part_of_a_split_holds_others_dead_and_both_find_each_other(
+def test_only_the_majority_of_a_partition_declares_others_dead_and_both_parts_merge(
     smaller: int, seed: int
 ) -> None:
     model = ready(seed=seed)
@@ -258,7 +260,7 @@
     assert settle(model, 15.0) is not None
 
 
-def test_of_two_groups_that_a_bridge_joins_nobody_is_held_dead_whom_most_reach() -> None:
+def test_of_two_groups_joined_by_a_bridge_no_member_that_most_reach_is_declared_dead() -> None:
     model = ready()
     at = model.now
     small, _great = halves(model, 8)
@@ -272,7 +274,7 @@
     assert settle(model, 15.0) is not None
 
 
-def test_seven_of_ten_killed_at_once_are_waited_for_and_come_back() -> None:
+def test_seven_of_ten_killed_at_once_stay_suspect_and_rejoin() -> None:
     model = ready()
     at = model.now
     killed = [f"b{number}" for number in range(SIZE) if number % 10 < 7]
@@ -294,7 +296,7 @@
     assert settle(model, 20.0) is not None
 
 
-def test_an_old_process_that_wakes_under_a_name_that_was_taken_over_steps_aside() -> None:
+def test_an_old_process_that_wakes_after_its_name_was_taken_steps_aside() -> None:
     model = ready()
     old = model.processes["b4"]
     model.pause("b4", 12.0)
@@ -305,7 +307,7 @@
     assert settle(model, 10.0) is not None
 
 
-def test_a_member_cut_off_for_long_takes_no_share_before_others_stop_counting_it() -> None:
+def test_a_member_isolated_for_long_takes_no_share_before_others_stop_counting_it() -> None:
     model = ready(settings=MembershipSettings(tombstone=60.0))
     model.run(70.0)
     part(model, {"b1"})
@@ -319,7 +321,7 @@
     assert counted_again is not None
 
 
-def test_flapping_links_end_in_views_that_agree() -> None:
+def test_views_agree_after_flapping_links() -> None:
     model = ready()
     small, _ = halves(model, 6)
     for _ in range(12):
@@ -330,7 +332,7 @@
     assert settle(model, 15.0) is not None
 
 
-def test_the_rate_holds_in_every_trouble() -> None:
+def test_the_send_budget_holds_under_every_fault() -> None:
     model = ready()
     at, before = model.now, {each.name: each.sent for each in model.up()}
     model.network.loss = 0.3
@@ -344,7 +346,7 @@
         assert each.sent - before[each.name] <= settings.rate * 120.0 + 2 * settings.burst
 
 
-def test_the_same_seed_is_the_same_run() -> None:
+def test_the_same_seed_gives_the_same_run_of_membership() -> None:
     def run(seed: int) -> str:
         model = Model(12, seed)
         model.network.loss = 0.2
@@ -357,7 +359,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 3])
-def test_many_that_join_at_once_are_let_in_by_seeds_that_were_there_before(seed: int) -> None:
+def test_many_members_that_join_at_once_are_admitted_by_earlier_seeds(seed: int) -> None:
     """A seed's answer to who joins had to wait for what its heartbeats left of the rate: with addresses and epochs of a
     real length nothing was left, and a quarter of a hundred that joined within a second were out a minute later.
     """
@@ -378,7 +380,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_third_lost_at_once_is_known_to_all_also_where_little_may_be_sent(seed: int) -> None:
+def test_the_failure_of_a_third_is_detected_by_all_also_with_a_small_send_budget(seed: int) -> None:
     """Questions about the lost, and answers, took all that the others may send: nothing was left for word of the deaths
     and for repairs, and so the questions went on for good.
     """
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -51,7 +51,7 @@
     return running
 
 
-def test_whoever_is_not_heard_by_one_is_heard_by_the_others_and_stays(brokers: Brokers) -> None:
+def test_a_member_that_one_other_does_not_receive_stays_alive(brokers: Brokers) -> None:
     since = brokers.mark()
     brokers.links.cut(["b1"], ["b2"])
     brokers.links.cut(["b4"], ["b1"])
@@ -61,7 +61,7 @@
     assert row["state"] == "alive" and not row["reachable"] and row["sign_by"].endswith("heard it")
 
 
-def test_whoever_is_heard_by_nobody_learns_it_and_is_out_until_it_is_heard_again(
+def test_a_member_that_nobody_receives_is_isolated_and_dead_until_it_is_received_again(
     brokers: Brokers,
 ) -> None:
     since = brokers.mark()
@@ -75,7 +75,9 @@
     brokers.agree()
 
 
-def test_whoever_hears_nobody_says_so_and_holds_nobody_dead(brokers: Brokers) -> None:
+def test_a_member_that_receives_nothing_is_isolated_and_declares_nobody_dead(
+    brokers: Brokers,
+) -> None:
     since = brokers.mark()
     brokers.links.cut([name for name in NAMES if name != "b1"], ["b1"])
     brokers.until(lambda: bool(brokers.view("b1")["isolated"]))
@@ -84,7 +86,7 @@
     assert brokers.alive("b0") == set(NAMES)
 
 
-def test_one_that_stands_still_for_long_is_out_and_comes_back_and_blames_nobody(
+def test_a_process_stopped_for_long_is_dead_rejoins_and_declares_nobody_dead(
     brokers: Brokers,
 ) -> None:
     since = brokers.mark()
@@ -96,7 +98,7 @@
     assert brokers.view("b3")["counters"]["stood still"] >= 1
 
 
-def test_one_that_stands_still_for_less_than_the_bound_is_not_out(brokers: Brokers) -> None:
+def test_a_process_stopped_for_less_than_the_tolerated_pause_is_not_dead(brokers: Brokers) -> None:
     since = brokers.mark()
     brokers.stop("b3")
     brokers.watch(PAUSE - 0.3)
@@ -106,7 +108,9 @@
 
 
 @pytest.mark.parametrize("count", [4, 7])
-def test_when_most_or_all_stand_still_nobody_is_held_dead(brokers: Brokers, count: int) -> None:
+def test_when_most_or_all_members_pause_nobody_is_declared_dead(
+    brokers: Brokers, count: int
+) -> None:
     since = brokers.mark()
     brokers.stop(*NAMES[:count])
     brokers.watch(3.5 * DEATH)
@@ -115,7 +119,7 @@
     assert not brokers.dead(since)
 
 
-def test_a_split_of_four_and_three_heals(brokers: Brokers) -> None:
+def test_a_partition_of_four_and_three_heals(brokers: Brokers) -> None:
     since = brokers.mark()
     brokers.links.part(NAMES[:3], NAMES[3:])
     brokers.until(lambda: brokers.out(set(NAMES[:3])))
@@ -127,7 +131,7 @@
     brokers.agree()
 
 
-def test_a_bridge_keeps_two_groups_in_one_view_as_far_as_most_reach(brokers: Brokers) -> None:
+def test_a_bridge_between_two_groups_keeps_all_members_alive(brokers: Brokers) -> None:
     since = brokers.mark()
     brokers.links.part(["b0", "b1", "b2"], ["b4", "b5", "b6"])  # b3 reaches all
     brokers.watch(3 * DEATH)
@@ -135,7 +139,7 @@
     assert brokers.alive("b0") == brokers.alive("b6") == set(NAMES)
 
 
-def test_a_link_that_flaps_ends_in_one_view(brokers: Brokers) -> None:
+def test_views_agree_after_a_link_flapped(brokers: Brokers) -> None:
     for _ in range(4):
         brokers.links.part(["b0"], NAMES[1:])
         brokers.watch(0.6)
@@ -144,7 +148,7 @@
     brokers.agree()
 
 
-def test_under_loss_a_death_is_found_and_no_other_one_invented(brokers: Brokers) -> None:
+def test_under_loss_a_crash_is_detected_and_no_other_death_declared(brokers: Brokers) -> None:
     since = brokers.mark()
     brokers.links.rest = Rule(loss=0.3, copies=0.1, delay=0.05)
     brokers.watch(3 * DEATH)
@@ -156,7 +160,7 @@
     brokers.agree()
 
 
-def test_a_rolling_restart_is_no_death(brokers: Brokers) -> None:
+def test_a_rolling_restart_causes_no_death(brokers: Brokers) -> None:
     since = brokers.mark()
     for name in NAMES:
         brokers.end(name, by=signal.SIGTERM)
@@ -166,7 +170,7 @@
     assert not brokers.dead(since)
 
 
-def test_five_of_seven_killed_at_once_are_not_judged_by_two_and_come_back(brokers: Brokers) -> None:
+def test_five_of_seven_killed_at_once_are_not_declared_dead_and_rejoin(brokers: Brokers) -> None:
     since = brokers.mark()
     brokers.end(*NAMES[:5])
     brokers.until(lambda: brokers.view("b5")["isolated"] and brokers.view("b6")["isolated"])
@@ -178,7 +182,7 @@
     assert not brokers.dead(since)
 
 
-def test_an_old_process_that_wakes_under_a_name_that_was_taken_over_steps_aside(
+def test_an_old_process_that_wakes_after_its_name_was_taken_steps_aside(
     brokers: Brokers, tmp_path: Path
 ) -> None:
     old, spare = (
@@ -216,7 +220,7 @@
     brokers.agree()
 
 
-def test_the_six_rules_hold_on_a_day_on_which_brokers_die_stall_and_lose_each_other(
+def test_the_six_rules_hold_on_a_day_with_crashed_stalled_and_partitioned_brokers(
     tmp_path: Path,
 ) -> None:
     steps = (
--- a/tests/membership/test_search.py
+++ b/tests/membership/test_search.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("seed", [*FOUND, *range(101, 121)])
-def test_a_random_day_holds(seed: int) -> None:
+def test_invariants_hold_on_a_random_day(seed: int) -> None:
     assert play(seed).wrong == ""
 
 
@@ -22,7 +22,7 @@
     assert first == again and first.trace != play(38).trace
 
 
-def test_what_does_not_hold_is_found_and_told() -> None:
+def test_a_violated_invariant_is_found_and_reported() -> None:
     """A check that cannot fail is none."""
     day = Day(37)
     day.model.at(30.0, lambda: setattr(day.model.processes["b0"], "sent", 10**9))
