--- a/bench/admission.py
+++ b/bench/admission.py
@@ -2,7 +2,7 @@
 
 One broker with stand-in boxes (canned answers) and a lowered descriptor limit. A known and an ordinary client ask at a
 steady pace before, during and after a flood of connections from one address, with admission and without. All on
-loopback; times of one run are to be compared with each other only. Beside it: the CPU of a refusal, and the module's
+loopback; times of one run are to be compared with each other only. Beside it: the CPU of a rejection, and the module's
 memory at many addresses.
 """
 
@@ -236,8 +236,8 @@
     return until
 
 
-def refusals(times: int) -> dict[str, float]:
-    """CPU of the broker for each refused connection: the address has its seats, and asks for more."""
+def rejections(times: int) -> dict[str, float]:
+    """CPU of the broker for each rejected connection: the address has its slots, and asks for more."""
     with running(BLOCK.replace("rate = 200", "rate = 100000"), 1024) as (port, _, pid):
         held = [socket.create_connection(("127.0.0.1", port), 2.0, (FLOOD, 0)) for _ in range(64)]
         assert {exchange(sock, REQUEST) for sock in held} == {200}
@@ -292,7 +292,7 @@
     if at is not None:
         flood(at, seconds)
         return
-    found: dict[str, Any] = {"refusal": refusals(5000), "module": module(addresses)}
+    found: dict[str, Any] = {"rejection": rejections(5000), "module": module(addresses)}
     for name, text in (("with", BLOCK), ("without", "  enabled = false")):
         found[name] = episode(text, 512, seconds)
     for name in ("with", "without"):
@@ -309,7 +309,9 @@
                     f"  {who:<9} {phase:<7} service {each['service']:.3f}  p50 {each['p50_ms']:7.1f} ms  "
                     f"p99 {each['p99_ms']:7.1f} ms  ({each['p99_ms'] / before:.2f} of before)"
                 )
-    click.echo(f"a refused connection: {found['refusal']['cpu_us']:.0f} us of CPU (aim: under 60)")
+    click.echo(
+        f"a rejected connection: {found['rejection']['cpu_us']:.0f} us of CPU (aim: under 60)"
+    )
     row = found["module"]
     click.echo(
         f"the module: {row['decide_us']:.1f} us a connection; from 20,000 to {addresses} distinct addresses "
--- a/bench/zone_cost.py
+++ b/bench/zone_cost.py
@@ -1,7 +1,8 @@
 """What the zones' rules cost a decision: `python bench/zone_cost.py [--boxes N] [--brokers N]`.
 
-The decision module alone, at the size of a large fleet, without the rules and with them: all sound, one zone dark, one
-returning. Each part's choice, its send and its end are counted; CPU time of this process, alternating runs.
+The decision module alone, at the size of a large fleet, without the rules and with them: all healthy, one zone
+unavailable, one recovering. Each part's choice, its send and its end are counted; CPU time of this process,
+alternating runs.
 """
 
 from __future__ import annotations
@@ -103,9 +104,9 @@
 def main(boxes: int, brokers: int, queries: int, runs: int) -> None:
     cases: dict[str, ZoneState | None] = {
         "module alone": None,
-        "all sound": ZoneState.HEALTHY,
-        "one dark": ZoneState.UNAVAILABLE,
-        "one returning": ZoneState.RECOVERING,
+        "all healthy": ZoneState.HEALTHY,
+        "one unavailable": ZoneState.UNAVAILABLE,
+        "one recovering": ZoneState.RECOVERING,
     }
     took: dict[str, list[float]] = {name: [] for name in cases}
     for seed in range(runs):
--- a/stepknot/broker/admission_gate.py
+++ b/stepknot/broker/admission_gate.py
@@ -11,22 +11,16 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
-from stepknot.admission.addresses import Address, NetworkSet, format_address, parse_address
+from stepknot.admission.addresses import Address
 from stepknot.admission.api_keys import ApiKeys
 from stepknot.admission.controller import AdmissionController
 from stepknot.admission.descriptors import DescriptorBudget
-from stepknot.admission.forwarded import client_address
-from stepknot.admission.model import Placement, QuerySlot, Verdict
-from stepknot.broker.admission_rejections import (
-    Classify,
-    Frontend,
-    Reject,
-    RejectionAnswers,
-    RejectionLog,
-)
+from stepknot.admission.model import Placement, Verdict
+from stepknot.broker.admission_rejections import Classify, Frontend, Reject, Rejections
 from stepknot.broker.admission_view import AdmissionView, make_view
+from stepknot.broker.peer_addresses import Peer, PeerAddresses
+from stepknot.broker.query_admission import QueryAdmission
 from stepknot.broker.waiting_connection import (
     AUTHORIZATION,
     READ_SIZE,
@@ -34,17 +28,12 @@
     WaitingConnection,
     content_length,
 )
-from stepknot.net.http import Request, Response
+from stepknot.net.http import Response
 from stepknot.net.link import Link
 from stepknot.net.loop import Loop
 from stepknot.net.server import Connection, Server
-from stepknot.net.tasks import Coroutine
 
 SWEEP_INTERVAL = 0.1  # seconds between looks at the waiting connections
-MAX_CACHED_ADDRESSES = 4096  # whose packed form is cached
-MIN_ERROR_STATUS = 400  # of HTTP
-
-Peer = tuple[Any, ...]  # a socket's peer, the address first
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,27 +72,27 @@
         self.accepted = 0  # connections so far; the last one's number
         self._descriptors = descriptors
         self._log = log
-        self._tenant_quotas = tenant_quotas
         self._wall_clock = wall_clock
-        self._trusted = NetworkSet(self.settings.trusted)
+        self._peers = PeerAddresses(self.settings.trusted)
         self._api_keys = ApiKeys(self.settings.keys)
         self._arrival = Arrival(0, Verdict(Placement.REJECTED), b"")  # the last one
-        self._addresses: dict[str, Address] = {}  # packed, by the socket's text
         self._admitted: dict[int, Connection] = {}
         self._waiting: dict[int, WaitingConnection] = {}  # the oldest first
         self._frontends: dict[Server, Frontend] = {}
         self._silent: Counter[SilentClose] = Counter()
-        self._answers = RejectionAnswers()
-        self._rejection_log = RejectionLog(loop, log)
+        self._rejections = Rejections(loop, log)
+        self._queries = QueryAdmission(
+            loop, admission, self._peers, tenant_quotas, self._rejections, self._close_evicted
+        )
         loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     def attach(self, server: Server, reject: Reject, classify: Classify) -> None:
         """Take every connection and request of this server from now on."""
-        self._frontends[server] = Frontend(reject, classify)
+        frontend = self._frontends[server] = Frontend(reject, classify)
         server.gate = self
         handler = server.handler
-        server.handler = lambda request, connection: self._handle(
-            server, handler, request, connection
+        server.handler = lambda request, connection: self._queries.handle(
+            frontend, handler, request, connection
         )
         server.listener.screen = lambda sock, peer: self._screen(server, sock, peer)
         server.listener.on_failed = lambda: self.on_close(self._arrival.number)
@@ -117,8 +106,8 @@
         A connection to be rejected whose request is here already needs no more than a read, a write and a close.
         """
         self.accepted += 1
-        number, address = self.accepted, self._address(peer)
-        if address in self._trusted:  # its clients are judged once it says who they are
+        number, address = self.accepted, self._peers.address(peer)
+        if address in self._peers.trusted:  # its clients are judged once it says who they are
             verdict = self.admission.on_proxy_connection(self.loop.now, number, address)
         else:
             verdict = self.admission.on_connection(self.loop.now, number, address)
@@ -176,7 +165,7 @@
 
     def _on_exhausted(self, server: Server, sock: socket.socket, peer: Peer) -> None:
         """Descriptors ran out in spite of the budgets: answer a connection that got the spare one."""
-        address = self._address(peer)
+        address = self._peers.address(peer)
         verdict = self.admission.on_descriptors_exhausted(self.loop.now, address)
         self._reject_at_once(server, sock, verdict)
 
@@ -187,9 +176,8 @@
             self._silent[SilentClose.NO_REQUEST] += 1
 
     def encode_rejection(self, server: Server, verdict: Verdict) -> bytes:
-        """The bytes of the final answer to a rejected connection; logs the rejection."""
-        self._rejection_log.record(verdict)
-        return self._answers.encode(server, self._frontends[server], verdict)
+        """The bytes of the final answer to a rejected connection."""
+        return self._rejections.encode(server, self._frontends[server], verdict)
 
     # --- waiting connections
 
@@ -245,7 +233,10 @@
 
     def expects_proxy(self, connection: Connection) -> bool:
         """Whether the connection begins with a PROXY header."""
-        return self.settings.proxy_protocol and self._address(connection.peer) in self._trusted
+        return (
+            self.settings.proxy_protocol
+            and self._peers.address(connection.peer) in self._peers.trusted
+        )
 
     def on_proxy_header(self, connection: Connection, address: Address | None) -> Response | None:
         """The PROXY header is here; returns the rejection where its client is not admitted."""
@@ -255,7 +246,7 @@
         self._close_evicted(verdict)
         if verdict.placement is Placement.ADMITTED:
             return None
-        return self._reject_request(connection.server, verdict)
+        return self._rejections.respond(self._frontends[connection.server], verdict)
 
     def on_protocol_error(self, connection: Connection) -> None:
         """A request was malformed or too slow."""
@@ -287,54 +278,6 @@
         """Keep-alive seconds of an idle connection, where nothing is scarce `base`."""
         return self.admission.slots.idle_timeout(base)
 
-    # --- requests
-
-    def _handle(
-        self, server: Server, handler: Any, request: Request, connection: Connection
-    ) -> Coroutine:
-        """Handle a request, if it gets a query slot."""
-        number = connection.number
-        tracked = self.admission.connections.get(number)
-        if tracked is None:  # it was evicted in this very turn
-            return None
-        address = self._client_of(request, connection, tracked.address)
-        if "authorization" in request.headers:
-            api_key = self._api_keys.name_of(request.headers["authorization"])
-            self._close_evicted(self.admission.on_first_request(self.loop.now, number, api_key))
-        level, tenant = self._frontends[server].classify(request)
-        quota = self._tenant_quotas.get(tenant, 0.0)
-        slot = self.admission.admit_query(self.loop.now, number, address, tenant, quota, level)
-        if not isinstance(slot, QuerySlot):
-            return self._reject_request(server, slot)
-        succeeded = False
-        try:
-            response = yield from handler(request, connection)
-            succeeded = response is not None and response.status < MIN_ERROR_STATUS
-            return response
-        finally:
-            self.admission.on_query_ended(self.loop.now, slot, succeeded)
-
-    def _reject_request(self, server: Server, verdict: Verdict) -> Response:
-        self._rejection_log.record(verdict)
-        return self._frontends[server].reject(verdict.reason_text, verdict.retry_after)
-
-    def _client_of(self, request: Request, connection: Connection, address: Address) -> Address:
-        """The client of a request, by the headers where the connection is a trusted proxy's; noted in the request."""
-        if address in self._trusted:
-            address = client_address(request.headers, address, self._trusted)
-        if address != self._address(connection.peer):
-            request.client = format_address(address)
-        return address
-
-    def _address(self, peer: Peer) -> Address:
-        """The packed address of a socket's peer."""
-        address = self._addresses.get(peer[0])
-        if address is None:
-            if len(self._addresses) >= MAX_CACHED_ADDRESSES:
-                self._addresses.clear()
-            address = self._addresses[peer[0]] = parse_address(str(peer[0]))
-        return address
-
     # --- operators
 
     def silent_closes(self) -> dict[str, int]:
--- a/stepknot/broker/admission_rejections.py
+++ b/stepknot/broker/admission_rejections.py
@@ -76,3 +76,21 @@
             suppressed = count - MAX_EVENTS_PER_SECOND
             if suppressed > 0:
                 self._log("admission_rejections_suppressed", reason=reason, count=suppressed)
+
+
+class Rejections:
+    """Rejects connections and requests in the protocol of their frontend, and logs it."""
+
+    def __init__(self, loop: Loop, log: Callable[..., None]) -> None:
+        self._answers = RejectionAnswers()
+        self._log = RejectionLog(loop, log)
+
+    def encode(self, server: Server, frontend: Frontend, verdict: Verdict) -> bytes:
+        """The bytes of the final answer to a rejected connection."""
+        self._log.record(verdict)
+        return self._answers.encode(server, frontend, verdict)
+
+    def respond(self, frontend: Frontend, verdict: Verdict) -> Response:
+        """The answer to a rejected request, whose connection goes on."""
+        self._log.record(verdict)
+        return frontend.reject(verdict.reason_text, verdict.retry_after)
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -340,15 +340,15 @@
         driver.check_invariants()
         return verdict
 
-    refused = 0
+    rejected = 0
     for _ in range(1000):
         driver.now += 0.01
-        refused += visit("10.0.0.1").reason is RejectReason.RATE
+        rejected += visit("10.0.0.1").reason is RejectReason.RATE
         if driver.number % 40 == 0:
             assert visit("10.0.0.2").reason is None
-    assert refused > 900
+    assert rejected > 900
     last = visit("10.0.0.1")
-    assert 0.0 < last.retry_after < 1.0  # what was refused did not count
+    assert 0.0 < last.retry_after < 1.0  # a rejected connection does not count
     driver.now += last.retry_after + 0.01
     assert visit("10.0.0.1").reason is None
 
--- a/tests/admission/test_sockets.py
+++ b/tests/admission/test_sockets.py
@@ -1,4 +1,4 @@
-"""Admission at the sockets: floods, limits, slow and odd clients; what each of them sees."""
+"""Admission on sockets: floods, limits, slow and odd clients; what each of them receives."""
 
 from __future__ import annotations
 
@@ -135,8 +135,8 @@
     found = view(run)
     assert found["refused"][0]["address"] == "127.0.0.66"
     assert found["decisions"]["refused: connections of the address"] > 4900
-    refusals = [fields for event, fields in run.logged if event == "admission_rejected"]
-    assert 0 < len(refusals) < 400  # sampled: a flood of refusals is no flood of lines
+    rejections = [fields for event, fields in run.logged if event == "admission_rejected"]
+    assert 0 < len(rejections) < 400  # sampled: a flood of rejections is no flood of lines
 
 
 def test_flood_that_stops_leaves_no_state(run: Running) -> None:
@@ -144,7 +144,7 @@
         socks = [connect(run.service.server.port, "127.0.0.66") for _ in range(200)]
         for sock in socks:
             sock.close()
-    # All of them have to be let in first: between two turns those still in the kernel's queue hold no seat yet.
+    # All of them have to be accepted first: between two turns those still in the kernel's queue hold no slot yet.
     until(lambda: run.call(lambda: run.service.gate.accepted) == 600)  # type: ignore[union-attr]
     until(lambda: view(run)["seats"]["unknown"] == 0 and view(run)["lane"] == 0)
     assert run.call(lambda: len(run.service.gate.admission.connections)) == 0  # type: ignore[union-attr]
@@ -206,7 +206,7 @@
 
 
 def test_full_slots_evict_the_longest_idle_connection_and_no_query(run: Running) -> None:
-    """48 of 60 seats are for the unknown: taken by three addresses, one of which has a query in work."""
+    """48 of 60 slots are for unknown clients: taken by three addresses, one of which has a query in flight."""
     gate = threading.Event()
     heavy = fill(run, "127.0.1.1", 20)
     fill(run, "127.0.1.2", 14)
@@ -255,7 +255,7 @@
         kept.append(client)
     assert (
         answers.count(200) == 30 and answers.count(429) == 70
-    )  # of sixty seats: as many as are free
+    )  # of sixty slots: as many as are free
     assert (
         at(run, "127.0.3.1")("GET", "/").status == 200
         and at(run, "127.0.9.2")("GET", "/").status == 200
@@ -302,7 +302,7 @@
     ids=["header", "body"],
 )
 def test_slow_senders_in_every_slot_are_answered_and_closed(tmp_path: Path, head: bytes) -> None:
-    """A byte now and then is no progress: each gets its 408, and the seats are free again."""
+    """A byte now and then is no progress: each gets its 408, and the slots are free again."""
     with gated(tmp_path, grace='"300ms"', progress=1000, connections=25, reserve=0.0) as run:
         slow = [at(run, f"127.0.4.{each % 5 + 1}") for each in range(25)]
         for each in slow:
@@ -601,7 +601,7 @@
 def test_descriptor_limit_of_128_is_never_exceeded_and_known_clients_are_served(
     tmp_path: Path,
 ) -> None:
-    """Hundreds of addresses take all seats and keep asking for more: budgets hold, nothing spins, and the boxes' side
+    """Hundreds of addresses take all slots and keep asking for more: budgets hold, nothing spins, and the servers' side
     has its part.
     """
     with lowered(tmp_path, 128, per_address=4) as (port, admin, process, _log):
@@ -613,16 +613,16 @@
         statuses = Counter(each.read().status for each in holders)
         assert statuses[200] > 20 and statuses[429] > 50 and sum(statuses.values()) == 150
         begun, cpu = time.monotonic(), cpu_of(process.pid)
-        refused = Counter[int]()
+        rejected = Counter[int]()
         for each in range(300):
             client = Client(connect(port, f"127.0.20.{each % 200 + 1}"))
-            refused[client("GET", "/reports/_count").status] += 1
+            rejected[client("GET", "/reports/_count").status] += 1
             known = Client(connect(port, KNOWN))
             assert known("POST", SEARCH).status == 200
             known.sock.close()
             client.sock.close()
             assert descriptors_of(process.pid) <= 128
-        assert refused == {429: 300}
+        assert rejected == {429: 300}
         idle = time.monotonic()
         select.select(
             [], [], [], 1.0
@@ -651,7 +651,7 @@
 def test_spare_descriptor_answers_connections_when_descriptors_run_out(
     tmp_path: Path,
 ) -> None:
-    """The limit is lowered under a running broker: accept fails, and whoever waits is told, not left waiting."""
+    """The limit is lowered under a running broker: accept fails, and clients are answered, not left waiting."""
     with lowered(tmp_path, 256, per_address=400, per_v4_24=400) as (port, _, process, _log):
         known = Client(connect(port, KNOWN))
         assert known("POST", SEARCH).status == 200
--- a/tests/zones/test_failover.py
+++ b/tests/zones/test_failover.py
@@ -24,12 +24,12 @@
 
 
 class World:
-    """ZoneFailover of `boxes` boxes each; parts come at a rate and go where the policy leaves room."""
+    """Zones of `servers` servers each; parts come at a rate and go where the decisions let them."""
 
     def __init__(
         self,
         names: str = "ab",
-        boxes: int = 4,
+        servers: int = 4,
         seed: int = 1,
         start: float = 100.0,
         own: str = "",
@@ -43,20 +43,20 @@
         self.entries = [
             ServerEntry(f"{name}{number}", name, 0, ServerState.LIVE)
             for name in names
-            for number in range(boxes)
+            for number in range(servers)
         ]
-        self.down: set[str] = set()  # zones, or single boxes
+        self.down: set[str] = set()  # zones, or single servers
         self.sent: dict[str, list[float]] = defaultdict(list)
-        self.refused = 0
+        self.rejected = 0
         self.asked = 0
         self.zones.update_endpoints(self.now, self.entries)
 
     def part(self, safe: bool = True, only: str = "") -> str | None:
-        """Place one part by chance among what is left; the box, or None where nothing may be sent."""
+        """Place one part by chance among what is left; the server, or None where nothing may be sent."""
         candidates = [each for each in self.entries if not only or each.zone in only]
         places = self.zones.narrow(self.now, candidates, safe)
         if not places:
-            self.refused += 1
+            self.rejected += 1
             return None
         entry = candidates[self.rng.choice(places)]
         self.zones.on_attempt_sent(self.now, entry.server)
@@ -84,12 +84,12 @@
                 advice = self.zones.admit(self.now, 1.0, 1, False)
                 if advice is not None and admit:
                     assert 0 < advice < 1000
-                    self.refused += 1
+                    self.rejected += 1
                     continue
                 self.part(only=only)
 
     def restart(self, name: str) -> None:
-        """Its boxes came up anew."""
+        """Its servers were started anew."""
         self.entries = [
             replace(each, up_since=self.now) if each.zone == name else each for each in self.entries
         ]
@@ -114,7 +114,7 @@
 def test_healthy_zones_are_not_narrowed_and_nothing_is_shed() -> None:
     world = World()
     world.run(20)
-    assert world.refused == 0 and not world.zones.take_changes()
+    assert world.rejected == 0 and not world.zones.take_changes()
     assert world.rate("a", 10) == pytest.approx(50, rel=0.2)
 
 
@@ -134,7 +134,7 @@
             <= world.limit(name) * (1 + BURST_SECONDS / 8)
             <= bound * 40
         )
-    assert world.refused > 0
+    assert world.rejected > 0
 
 
 def test_recovery_is_stepwise_and_ends_within_twice_the_warm_up() -> None:
@@ -178,7 +178,7 @@
         world.run(6)
         steps.append(world.zones.zone("b").health.ramp.step_seconds())
     assert steps[0] < steps[1] < steps[2]
-    assert world.rate("a", 20) > 60  # the sound zone went on all the time
+    assert world.rate("a", 20) > 60  # the healthy zone went on all the time
     world.run(300, rate=20, tick=0.4)
     assert world.state("b") is ZoneState.HEALTHY and world.zones.zone("b").health.ramp.relapses == 0
 
@@ -210,7 +210,7 @@
         world.zones.on_attempt_ended(world.now, "b1", Outcome.SERVED, 0.8)
         world.zones.on_attempt_ended(
             world.now, "b1", Outcome.TIMED_OUT, 0.5
-        )  # the box served something since
+        )  # the server served something since
     assert world.state("b") is ZoneState.HEALTHY
 
 
@@ -332,9 +332,9 @@
     admitted: dict[float, int] = defaultdict(int)
     for _ in range(400):
         world.now += TICK
-        for worth in (1.0, 4.0, 16.0):
+        for priority in (1.0, 4.0, 16.0):
             for _ in range(5):  # 100 a second each, 300 in all; some 180 fit
-                admitted[worth] += world.zones.admit(world.now, worth, 1, False) is None
+                admitted[priority] += world.zones.admit(world.now, priority, 1, False) is None
     assert admitted[16.0] > 0.9 * 2000 and admitted[16.0] > admitted[4.0] > admitted[1.0] > 20
 
 
@@ -402,7 +402,7 @@
 
 
 def test_failed_step_halves_the_recovery_ramp() -> None:
-    world = World(boxes=6)
+    world = World(servers=6)
     world.run(20)
     world.down = {"b"}
     world.run(5)
@@ -451,7 +451,7 @@
 def test_generated_days_never_exceed_the_limit_and_end_healthy(
     events: list[tuple[str, object, int]], seed: int
 ) -> None:
-    """While a zone is not sound, no other gets more than its bound and a burst; after the last event all is sound."""
+    """While a zone is not healthy, no other gets more than its limit and a burst; in the end all are healthy."""
     world = World("abc", seed=seed)
     world.run(20, rate=100)
     spans: list[tuple[float, float, dict[str, float]]] = []
@@ -478,7 +478,7 @@
     world.down = set()
     world.run(400, rate=20, tick=0.4)
     assert all(world.state(name) is ZoneState.HEALTHY for name in "abc")
-    world.refused = 0
+    world.rejected = 0
     world.run(3, rate=60)
-    assert world.refused == 0
+    assert world.rejected == 0
     assert min(world.rate(name, 3) for name in "abc") > 10
--- a/tests/zones/test_sockets.py
+++ b/tests/zones/test_sockets.py
@@ -1,4 +1,4 @@
-"""A zone lost and back on real processes: it flaps, answers questions but no work, drains while it comes back."""
+"""A zone lost and back on real processes: it flaps, answers health checks but no parts, drains while it recovers."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
 
 
 def good_share(folder: Path, since: float, until: float) -> float:
-    """Of the final answers in this span of the day, those that are neither refused nor failed."""
+    """Of the final answers in this span of the day, those that are neither rejected nor failed."""
     records = Records.load(folder)
     begun = next(each["t"] for each in records.fleet if each["what"] == "begin")
     late = next(
@@ -96,10 +96,10 @@
 @pytest.mark.parametrize("broker", [0, 1])
 def test_half_lost_zone_and_slow_zone_stay_available(hard: Path, broker: int) -> None:
     """B only once all of it is gone; a, if at all, after that: when all are lost."""
-    dark = [each for each in changes(hard, broker) if each["new"] == "dark"]
-    order = [each["zone"] for each in dark]
+    lost = [each for each in changes(hard, broker) if each["new"] == "dark"]
+    order = [each["zone"] for each in lost]
     assert (
-        next(each["reason"] for each in dark if each["zone"] == "b")
+        next(each["reason"] for each in lost if each["zone"] == "b")
         == "the list names no live box of it"
     )
     assert "a" not in order or order.index("b") < order.index("a")
