--- a/bench/planted_defects/leases.py
+++ b/bench/planted_defects/leases.py
@@ -110,7 +110,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/leases/node.py",
+        path="stepknot/leases/job_protocol.py",
         original="successor or next_in_rank",
         replacement="successor",
         tests=(
--- a/bench/trace_packages/leases.py
+++ b/bench/trace_packages/leases.py
@@ -52,7 +52,7 @@
 
     def carry(self, process: Process) -> None:
         self.recorded.add(
-            *(value for event in process.node._events for value in dataclasses.astuple(event))
+            *(value for event in process.node.outbox.events for value in dataclasses.astuple(event))
         )
         super().carry(process)
 
--- a/stepknot/leases/output.py
+++ b/stepknot/leases/output.py
@@ -4,7 +4,8 @@
 
 from dataclasses import dataclass
 
-from stepknot.leases.messages import VoterState
+from stepknot.leases.messages import Message, VoterState, encode
+from stepknot.leases.settings import ProcessId
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,3 +44,26 @@
     datagrams: list[OutgoingDatagram]
     voter_state: VoterState | None  # has to be on disk before datagrams with `after_save` leave
     events: list[LeaseEvent]
+
+
+class NodeOutbox:
+    """Collects datagrams and events until the driver takes them."""
+
+    def __init__(self, fleet: str, process: ProcessId) -> None:
+        """Datagrams are of this fleet and from this process."""
+        self._fleet = fleet
+        self._process = process
+        self._datagrams: list[OutgoingDatagram] = []
+        self.events: list[LeaseEvent] = []
+
+    def send(self, receiver: str, message: Message, *, after_save: bool = False) -> None:
+        """Add a datagram. Messages to this broker itself go the same way; the driver delivers them."""
+        data = encode(self._fleet, self._process, message)
+        self._datagrams.append(OutgoingDatagram(receiver, data, after_save))
+
+    def take(self, voter_state: VoterState | None) -> NodeOutput:
+        """What was collected since the last call, with the voter's state to be saved."""
+        output = NodeOutput(self._datagrams, voter_state, self.events)
+        self._datagrams = []
+        self.events = []
+        return output
