--- a/bench/planted_defects/library.py
+++ b/bench/planted_defects/library.py
@@ -16,6 +16,7 @@
         original="left + cost * quota.draw >= cost",
         replacement="left + cost >= cost",
         tests=("tests/decisions/test_slow_start.py",),
+        invariant="4",
     ),
     PlantedDefect(
         path="stepknot/decisions/slow_start.py",
@@ -24,18 +25,21 @@
         tests=(
             "tests/decisions/test_slow_start.py::test_new_process_leaves_the_quota_to_the_one_before",
         ),
+        invariant="4",
     ),
     PlantedDefect(
         path="stepknot/decisions/slow_start.py",
         original="return self.quotas.setdefault(server, ColdQuota())",
         replacement="return ColdQuota()",
         tests=("tests/decisions/test_slow_start.py::test_changed_entry_brings_no_fresh_quota",),
+        invariant="4",
     ),
     PlantedDefect(
         path="stepknot/decisions/dispatch.py",
         original="return since + kind.repeat_window",
         replacement="return math.inf",
         tests=("tests/decisions/test_rules.py",),
+        invariant="2",
     ),
     PlantedDefect(
         path="stepknot/decisions/selection.py",
@@ -68,6 +72,7 @@
         tests=(
             "tests/decisions/test_slow_start.py::test_counted_instances_set_the_share_of_a_cold_server",
         ),
+        invariant="4",
     ),
     PlantedDefect(
         path="stepknot/decisions/endpoint_list.py",
@@ -76,6 +81,7 @@
         tests=(
             "tests/simulation/test_subset_cost.py::test_every_query_gets_one_final_answer_and_no_part_goes_where_it_must_not",
         ),
+        invariant="3",
     ),
     PlantedDefect(
         path="stepknot/decisions/answers.py",
@@ -84,5 +90,147 @@
         tests=(
             "tests/simulation/test_subset_cost.py::test_every_query_gets_one_final_answer_and_no_part_goes_where_it_must_not",
         ),
+        invariant="1",
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/answers.py",
+        original="need = 1.0 if is_second else kind.need",
+        replacement="need = 0.0",
+        tests=(
+            "tests/decisions/test_answers.py::test_answer_is_partial_under_need_and_complete_over_it",
+        ),
+        invariant="5",
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/answers.py",
+        original="if query.parts and served_weight(query) >= kind.floor - EPSILON:",
+        replacement="if query.parts:",
+        tests=(
+            "tests/decisions/test_answers.py::test_query_that_cannot_reach_its_floor_ends_at_once",
+        ),
+        invariant="5",
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/answers.py",
+        original="elif kind.effect is Effect.SAFE or all(",
+        replacement="elif True or all(",
+        tests=(
+            "tests/decisions/test_answers.py::test_unsafe_query_that_may_have_run_is_failed_not_rejected",
+        ),
+        invariant="2",
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/retries.py",
+        original="return kind.effect is Effect.KEYED and self._turn.now < window_end",
+        replacement="return kind.effect is Effect.KEYED",
+        tests=("tests/decisions/test_rules.py",),
+        invariant="2",
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/retry_budget.py",
+        original="len(self.retries) + 1 <= allowed",
+        replacement="len(self.retries) <= allowed",
+        tests=("tests/decisions/test_retries.py::test_retries_stop_at_the_budget",),
+        invariant="6",
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/retry_budget.py",
+        original="allowed *= 1 - RESERVED_BUDGET_SHARE",
+        replacement="pass",
+        tests=(
+            "tests/decisions/test_retries.py::test_half_of_the_budget_is_reserved_for_parts_that_their_query_needs",
+        ),
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/dispatch.py",
+        original="self._slow_start.refund(attempt.capsule)",
+        replacement="pass",
+        tests=("tests/decisions/test_slow_start.py::test_rejected_query_spends_no_quota",),
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/capsule.py",
+        original="wait = max(0.0, left * (beta - out) / (beta - alpha))",
+        replacement="wait = left",
+        tests=("tests/decisions/test_capsule.py::test_wait_shrinks_from_alpha_to_beta",),
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/capsule.py",
+        original="wait = left if out < beta else 0.0",
+        replacement="wait = left",
+        tests=(
+            "tests/decisions/test_capsule.py::test_query_that_needs_all_parts_waits_in_full_below_beta_and_is_rejected_at_it",
+        ),
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/capsule.py",
+        original="if wait >= expected and left >= MIN_MEANS_LEFT * expected:",
+        replacement="if wait >= expected:",
+        tests=("tests/decisions/test_capsule.py::test_query_with_too_few_means_left_is_rejected",),
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/selection.py",
+        original="count += PROBE_OUT_WEIGHT * capsule.probe_out",
+        replacement="pass",
+        tests=(
+            "tests/decisions/test_health.py::test_replica_that_reports_a_queue_is_better_than_one_that_does_not_answer",
+        ),
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/health.py",
+        original="hold = max(FAILURE_HOLD * base_wait, FAILURE_HOLD_GAPS * capsule.send_gap)",
+        replacement="hold = FAILURE_HOLD * base_wait",
+        tests=("tests/decisions/test_health.py::test_failure_is_held_longer_where_sends_are_rare",),
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/outlier_detection.py",
+        original="if not call.is_sampled:",
+        replacement="if True:",
+        tests=(
+            "tests/decisions/test_outlier_detection.py::test_parts_lost_in_one_call_are_one_sample_of_its_connection",
+        ),
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/hedging.py",
+        original="if part not in query.parts or part.is_served:",
+        replacement="if True:",
+        tests=("tests/decisions/test_hedging.py::test_overdue_part_is_hedged_at_another_replica",),
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/load_shedding.py",
+        original="dispatcher.withdraw(attempt)",
+        replacement="pass",
+        tests=("tests/decisions/test_rules.py",),
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/aggregator.py",
+        original="timers_due.append(event)",
+        replacement="self.timers.on_due(event)",
+        tests=(
+            "tests/decisions/test_hedging.py::test_backlog_after_a_stall_is_not_taken_for_silence",
+        ),
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/endpoint_list.py",
+        original="elif known is None or known.entry.up_since != entry.up_since:",
+        replacement="elif known is None:",
+        tests=(
+            "tests/decisions/test_endpoint_list.py::test_restarted_server_is_not_judged_by_its_past",
+        ),
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/outcomes.py",
+        original="elapsed = min(elapsed, attempt.query.query_class.aim)",
+        replacement="pass",
+        tests=(
+            "tests/decisions/test_capsule.py::test_lost_part_counts_in_the_mean_with_no_more_than_the_aim",
+        ),
+    ),
+    PlantedDefect(
+        path="stepknot/decisions/capsule.py",
+        original="if query.first_parts:",
+        replacement="if False:",
+        tests=(
+            "tests/decisions/test_load_shedding.py::test_second_step_is_sent_though_its_servers_are_full",
+        ),
     ),
 ]
--- a/tests/decisions/test_answers.py
+++ b/tests/decisions/test_answers.py
@@ -4,18 +4,8 @@
 
 import pytest
 
-from stepknot.interface import (
-    Answer,
-    Cancel,
-    Outcome,
-    Refuse,
-    Send,
-    SetTimer,
-    TimerDue,
-)
-from tests.decisions.steps import (
-    fire_timers,
-)
+from stepknot.interface import Answer, Cancel, Outcome, Refuse, Send, SetTimer, TimerDue
+from tests.decisions.steps import fire_timers
 from tests.helpers import FLEET, START, Driver, limits, make_settings
 
 pytestmark = pytest.mark.cpu_only
--- a/tests/decisions/test_capsule.py
+++ b/tests/decisions/test_capsule.py
@@ -2,19 +2,14 @@
 
 from __future__ import annotations
 
+import math
+
 import pytest
 
-from stepknot.interface import (
-    Answer,
-    Outcome,
-    Refuse,
-)
-from tests.decisions.steps import (
-    probe_reply,
-    probing_driver,
-    run_queries,
-    set_known,
-)
+from stepknot.decisions.capsule import BETA_SHARE
+from stepknot.decisions.records import Call
+from stepknot.interface import Answer, Outcome, Refuse
+from tests.decisions.steps import probe_reply, probing_driver, run_queries, set_known
 from tests.helpers import FLEET, START, Driver, entry, make_settings
 
 pytestmark = pytest.mark.cpu_only
@@ -144,3 +139,30 @@
         taken += 1
     wait = driver.settings.classes["all"].aim * 0.95
     assert 0.6 * wait < 0.01 * taken < 0.7 * wait
+
+
+@pytest.mark.parametrize(
+    ("out_in_betas", "wait_in_base_waits"), [(0.5, 1.0), (0.85, 0.75), (0.9, 0.5), (0.95, 0.25)]
+)
+def test_wait_shrinks_from_alpha_to_beta(out_in_betas: float, wait_in_base_waits: float) -> None:
+    driver = Driver(fleet=FLEET[:1])
+    set_known(driver, mean=0.02, out=20.0)  # a beta of several hundred calls
+    base_wait = driver.aggregator.throttle.base_wait
+    beta = BETA_SHARE * base_wait / 0.001
+    capsule = driver.aggregator.capsules["s0a"]
+    capsule.calls |= {Call(0, parts=1, parts_out=1) for _ in range(round(out_in_betas * beta))}
+    driver.query("some", [0])
+    (send,) = driver.sends()
+    assert send.timeout == pytest.approx(wait_in_base_waits * base_wait, abs=0.01)
+
+
+def test_query_that_needs_all_parts_waits_in_full_below_beta_and_is_rejected_at_it() -> None:
+    driver = Driver(fleet=FLEET[:1])
+    set_known(driver, mean=0.02, out=20.0)
+    base_wait = driver.aggregator.throttle.base_wait
+    beta = math.floor(BETA_SHARE * base_wait / 0.001)
+    capsule = driver.aggregator.capsules["s0a"]
+    capsule.calls |= {Call(0, parts=1, parts_out=1) for _ in range(beta)}
+    driver.query("all", [0])
+    assert [send.timeout for send in driver.sends()] == [pytest.approx(base_wait)]
+    assert isinstance(driver.finals.get(driver.query("all", [0])), Refuse)
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -4,13 +4,7 @@
 
 import pytest
 
-from stepknot.interface import (
-    ListKind,
-    ServerState,
-    SetTimer,
-    TimerDue,
-    Watch,
-)
+from stepknot.interface import ListKind, ServerState, SetTimer, TimerDue, Watch
 from tests.helpers import FLEET, Driver, entry, make_settings
 
 pytestmark = pytest.mark.cpu_only
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -4,17 +4,8 @@
 
 import pytest
 
-from stepknot.interface import (
-    AttemptEnded,
-    Outcome,
-    Probe,
-    SetTimer,
-    TimerDue,
-)
-from tests.decisions.steps import (
-    probe_reply,
-    probing_driver,
-)
+from stepknot.interface import AttemptEnded, Outcome, Probe, SetTimer, TimerDue
+from tests.decisions.steps import probe_reply, probing_driver
 from tests.helpers import FLEET, Driver
 
 pytestmark = pytest.mark.cpu_only
--- a/tests/decisions/test_hedging.py
+++ b/tests/decisions/test_hedging.py
@@ -6,17 +6,8 @@
 
 from stepknot.decisions.capsule import BETA_SHARE
 from stepknot.decisions.records import Call
-from stepknot.interface import (
-    Answer,
-    Outcome,
-    Refuse,
-    SetTimer,
-    TimerDue,
-)
-from tests.decisions.steps import (
-    next_timer,
-    set_known,
-)
+from stepknot.interface import Answer, Outcome, Refuse, SetTimer, TimerDue
+from tests.decisions.steps import next_timer, set_known
 from tests.helpers import FLEET, Driver
 
 pytestmark = pytest.mark.cpu_only
--- a/tests/decisions/test_load_shedding.py
+++ b/tests/decisions/test_load_shedding.py
@@ -4,15 +4,8 @@
 
 import pytest
 
-from stepknot.interface import (
-    SetTimer,
-    TimerDue,
-)
-from tests.decisions.steps import (
-    probe_reply,
-    probing_driver,
-    run_queries,
-)
+from stepknot.interface import SetTimer, TimerDue
+from tests.decisions.steps import probe_reply, probing_driver, run_queries
 from tests.helpers import Driver
 
 pytestmark = pytest.mark.cpu_only
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -5,17 +5,8 @@
 import pytest
 
 from stepknot.decisions.records import DecayingShare
-from stepknot.interface import (
-    Answer,
-    Close,
-    Outcome,
-    Send,
-)
-from tests.decisions.steps import (
-    play_pauses,
-    run_queries,
-    set_known,
-)
+from stepknot.interface import Answer, Close, Outcome, Send
+from tests.decisions.steps import play_pauses, run_queries, set_known
 from tests.helpers import FLEET, Driver, entry, limits, make_settings
 
 pytestmark = pytest.mark.cpu_only
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -4,10 +4,7 @@
 
 import pytest
 
-from stepknot.interface import (
-    Answer,
-    Outcome,
-)
+from stepknot.interface import Answer, Outcome
 from tests.helpers import Driver, make_settings, rules
 
 pytestmark = pytest.mark.cpu_only
--- a/tests/decisions/test_selection.py
+++ b/tests/decisions/test_selection.py
@@ -7,12 +7,8 @@
 import pytest
 
 from stepknot.decisions.records import Call
-from stepknot.interface import (
-    Outcome,
-)
-from tests.decisions.steps import (
-    run_queries,
-)
+from stepknot.interface import Outcome
+from tests.decisions.steps import run_queries
 from tests.helpers import FLEET, Driver
 
 pytestmark = pytest.mark.cpu_only
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -4,12 +4,7 @@
 
 import pytest
 
-from stepknot.interface import (
-    InstancesCounted,
-    ListKind,
-    Send,
-    ServerState,
-)
+from stepknot.interface import InstancesCounted, ListKind, Send, ServerState
 from stepknot.simulation.cold import DEMANDS, play
 from tests.helpers import START, Driver, entry, make_settings
 
