--- a/stepknot/decisions/selection.py
+++ b/stepknot/decisions/selection.py
@@ -11,7 +11,7 @@
 from stepknot.decisions.records import Capsule, Query
 from stepknot.decisions.slow_start import SlowStart
 from stepknot.decisions.turn import Turn
-from stepknot.interface import Effect
+from stepknot.interface import Effect, Narrow
 
 # What is compared, the lowest first: fails the class, would not be sent to, unresponsive, count, needs a new
 # call, chance.
@@ -67,7 +67,7 @@
             if capsule.entry.server not in excluded and has_capacity(capsule, class_name)
         ]
         if self._turn.narrow:
-            candidates = self._narrow(query, candidates)
+            candidates = self._narrowed(self._turn.narrow, query, candidates)
         best: Capsule | None = None
         best_rank: Rank | None = None
         for capsule in candidates:
@@ -76,14 +76,11 @@
                 best, best_rank = capsule, rank
         return best
 
-    def _narrow(self, query: Query, candidates: list[Capsule]) -> list[Capsule]:
+    def _narrowed(self, narrow: Narrow, query: Query, candidates: list[Capsule]) -> list[Capsule]:
         """Those candidates that the caller's rule leaves."""
-        turn = self._turn
-        if turn.narrow is None:
-            return candidates
         entries = [capsule.entry for capsule in candidates]
         is_safe = query.query_class.effect is Effect.SAFE
-        places = turn.narrow(turn.now, entries, is_safe, bool(query.first_parts))
+        places = narrow(self._turn.now, entries, is_safe, bool(query.first_parts))
         return [candidates[place] for place in places]
 
     def _rank(self, query: Query, capsule: Capsule, share: float, is_trial: bool) -> Rank:
