--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -333,7 +333,7 @@
             lambda s: at(record, s.brokers),
             "bytes",
             MEMORY,
-            "`peers/table.py`",
+            "`membership/table.py`",
             (("members: memory of one member's table", FULL.brokers),),
         ),
         Row(
@@ -342,7 +342,7 @@
             lambda s: s.brokers,
             "",
             1024,
-            "`peers/table.py`",
+            "`membership/table.py`",
             (),
         ),
         Row(
@@ -351,7 +351,7 @@
             lambda s: at(quiet, s.brokers),
             "bytes/s",
             RATE,
-            "`peers/rate.py`",
+            "`membership/send_budget.py`",
             (("members: quiet, median member", FULL.brokers),),
         ),
         Row(
@@ -360,7 +360,7 @@
             lambda s: at(quiet_cpu, s.brokers) / 1e6,
             "core",
             CORE,
-            "`peers/members.py`",
+            "`membership/protocol.py`",
             (("members: quiet, CPU of a member", FULL.brokers),),
         ),
         Row(
@@ -369,7 +369,7 @@
             lambda s: at(crash, s.brokers),
             "s",
             FORCE,
-            "`peers/gossip.py`",
+            "`membership/gossip.py`",
             (("members: all learnt of a crash", FULL.brokers),),
         ),
         Row(
@@ -378,7 +378,7 @@
             lambda s: at(settled, s.brokers),
             "s",
             FORCE,
-            "`peers/members.py`; groups: none yet",
+            "`membership/protocol.py`; groups: none yet",
             (("members: settled after all started within a second", FULL.brokers),),
         ),
         Row(
@@ -387,7 +387,7 @@
             lambda s: at(returned, s.brokers),
             "s",
             FORCE,
-            "`peers/members.py`; groups: none yet",
+            "`membership/protocol.py`; groups: none yet",
             (("members: settled after a zone returned", FULL.brokers),),
         ),
         Row(
@@ -396,7 +396,7 @@
             lambda s: at(owner, s.brokers),
             "bytes/s",
             RATE,
-            "`ownership/node.py`; a relay: none yet",
+            "`leases/node.py`; a relay: none yet",
             (("owners, 3 voters, 1 jobs: bytes of the member that sends most", FULL.brokers),),
         ),
         Row(
@@ -405,7 +405,7 @@
             lambda s: at(owner, s.brokers) / 30,
             "bytes/s",
             RATE,
-            "`ownership/node.py`; a relay: none yet",
+            "`leases/node.py`; a relay: none yet",
             (("owners, 3 voters, 1 jobs: bytes of the member that sends most", FULL.brokers),),
         ),
         Row(
@@ -414,7 +414,7 @@
             lambda s: at(owner_cpu, s.brokers) / 1e6,
             "core",
             CORE,
-            "`ownership/node.py`",
+            "`leases/node.py`",
             (("owners, 3 voters, 1 jobs: CPU of a member, mean", FULL.brokers),),
         ),
     ]
