--- a/tests/broker/test_node_faults.py
+++ b/tests/broker/test_node_faults.py
@@ -237,11 +237,16 @@
         lambda: not run.call(lambda: any(each.probe_out for each in capsules))
     )  # no question is out
     stray = b"HTTP/1.1 500 Late\r\ncontent-length: 2\r\n\r\n{}"
-    for box in run.boxes:
-        for sock in box.socks:
-            sock.sendall(stray)
+    idle = [sock for box in run.boxes for sock in box.socks]
+    for sock in idle:
+        sock.sendall(stray)
+    before = [len(box.calls) for box in run.boxes]
     for _ in range(4):
         assert client("PUT", "/reports/_create/a", {"n": 1}).status == 201
+    after = [
+        call for box, count in zip(run.boxes, before, strict=True) for call in box.calls[count:]
+    ]
+    assert after and not any(call.sock in idle for call in after)
 
 
 @pytest.mark.parametrize("whole", [True, False])
