--- a/tests/decisions/test_answers.py
+++ b/tests/decisions/test_answers.py
@@ -83,17 +83,17 @@
 
 def test_rejection_advises_when_to_retry_where_that_is_allowed() -> None:
     advised = Driver(fleet=[])
-    refusal = advised.finals[advised.query("all", [0])]
+    rejection = advised.finals[advised.query("all", [0])]
     assert (
-        isinstance(refusal, Refuse)
-        and 0 < refusal.retry_after <= advised.settings.limits.max_retry_after
+        isinstance(rejection, Refuse)
+        and 0 < rejection.retry_after <= advised.settings.limits.max_retry_after
     )
     plain = Driver(make_settings(limits=limits(retry_after=False)), fleet=[])
     assert plain.finals[plain.query("all", [0])] == Refuse(2, 0.0)
 
 
 def test_query_worth_a_late_answer_waits_for_what_is_out() -> None:
-    """Searches were given up at their aim and asked again: the fleet did all their work twice."""
+    """Searches ended at their aim and clients retried them: the fleet did all their work twice."""
     driver = Driver()
     query = driver.query("late", [0, 1])
     assert all(send.timeout > 2.9 for send in driver.sends())
--- a/tests/decisions/test_capsule.py
+++ b/tests/decisions/test_capsule.py
@@ -88,7 +88,7 @@
 
 
 def test_old_mean_does_not_keep_a_server_out_of_use() -> None:
-    """All servers bypassed for means over the wait: none was sent anything, so none was heard again."""
+    """All servers were bypassed for means over the wait: nothing was sent, so no server answered again."""
     driver = Driver()
     run_queries(driver, 10, 0.63)
     driver.at(driver.now + 60.0)
@@ -105,7 +105,7 @@
 
 
 def test_lost_part_counts_in_the_mean_with_no_more_than_the_aim() -> None:
-    """Lost answers: each counted with the whole late wait, and three quarters of all queries were refused."""
+    """Lost answers: each counted with the whole late wait, and three quarters of all queries were rejected."""
     driver = Driver(fleet=FLEET[:1])
     query = driver.query("late", [0])
     driver.at(START + 2.9)
@@ -114,7 +114,7 @@
 
 
 def test_server_slow_by_its_queue_is_used_once_nothing_is_out_there() -> None:
-    """All holders stood still with many parts out: idle now, they are as quick as ever, and no query is refused."""
+    """All holders were paused with many parts out: idle now, they are as quick as ever, and no query is rejected."""
     driver = Driver()
     for capsule in driver.aggregator.capsules.values():
         capsule.responses, capsule.last_response_at = 50, driver.now
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -34,7 +34,7 @@
 
 
 def test_time_out_at_a_server_that_answers_others_is_no_failure() -> None:
-    """Held failures of a jam drew the work to a few servers and left others idle."""
+    """Failures held after an overload concentrated the work on a few servers and left others idle."""
     driver = Driver(fleet=FLEET[:1])
     late, good = driver.queries(("all", [0], None, None), ("all", [0], None, None))
     driver.at(driver.now + 0.5)
@@ -44,7 +44,7 @@
 
 
 def test_errors_are_held_up_to_a_bound_and_time_outs_without_one() -> None:
-    """Resets at all servers alike drew the work to whichever happened to have had fewest."""
+    """Resets at all servers alike concentrated the work on the server that happened to have had fewest."""
     driver = Driver(fleet=FLEET[:1])
     for outcome, held in [(Outcome.RESET, 3), (Outcome.TIMED_OUT, 9)]:
         for _ in range(6):
@@ -105,7 +105,7 @@
     driver.query("all", [0])
     assert any(
         isinstance(act, Probe) for act in driver.acts
-    )  # what was said long ago is asked for again
+    )  # old reports are asked for again by probes
 
 
 def test_reports_of_an_idle_fleet_make_probes_needless() -> None:
@@ -141,7 +141,7 @@
 
 
 def test_reports_that_nothing_renews_do_not_keep_rejecting() -> None:
-    """For 20 s after a burst all was refused for what servers had reported in it: no send, no new report."""
+    """For 20 s after a burst all queries were rejected by reports from the burst: no send, no new report."""
     driver = Driver(fleet=FLEET[:3])
     query = driver.query("some", [0])
     (part,) = driver.parts[query]
--- a/tests/decisions/test_hedging.py
+++ b/tests/decisions/test_hedging.py
@@ -80,7 +80,7 @@
     driver.fire()
     assert stuck and all(
         driver.attempts[part][1][0] != still for part in stuck
-    )  # copied, at half of its mean
+    )  # hedged, at half of its mean
     later = [driver.query("all", [0]) for _ in range(4)]
     assert {driver.attempts[part][0][0] for query in later for part in driver.parts[query]} == {
         "s0b"
--- a/tests/decisions/test_load_shedding.py
+++ b/tests/decisions/test_load_shedding.py
@@ -15,14 +15,14 @@
     def taken(kind: str) -> int:
         driver = Driver()
         run_queries(driver, 20, 0.1)
-        refused = sum(driver.query(kind, [0]) in driver.finals for _ in range(60))
-        return 60 - refused
+        rejected = sum(driver.query(kind, [0]) in driver.finals for _ in range(60))
+        return 60 - rejected
 
     assert taken("keyed") > taken("all") > 0  # twice the worth for a part
 
 
 def test_second_step_is_sent_though_its_servers_are_full() -> None:
-    """The first step's work was thrown away when the second was refused."""
+    """The work of the first step was wasted when the second step was rejected."""
     driver = probing_driver()
     query = driver.query("steps", [0])
     driver.handle(*(probe_reply(server, inflight=0) for server in ("s0a", "s0b", "s0c")))
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -13,7 +13,7 @@
 
 
 def test_outage_of_all_ends_with_the_answer_to_a_trial() -> None:
-    """All parts were bypassed by the means of the outage, nothing was sent, and nothing was heard."""
+    """All parts were bypassed by the means of the outage, nothing was sent, and nothing came back."""
     driver = Driver()
     kind = driver.settings.classes["all"]
     run_queries(driver, 20, 0.05)
@@ -63,7 +63,7 @@
 
 
 def test_losses_that_all_kinds_and_zones_share_do_not_move_the_choice() -> None:
-    """In a jam each zone loses parts, and noise drew the work from one to the other."""
+    """Under overload each zone loses parts, and noise moved the work from one to the other."""
     fleet = [
         entry(f"s{cell}{kind}", cell, kind=kind) for cell in range(2) for kind in ("old", "new")
     ]
@@ -113,14 +113,14 @@
     set_known(driver)
     for _ in range(8):
         driver.query("all", [0])
-        heard = driver.query("some", [0])
+        answered = driver.query("some", [0])
         driver.at(driver.now + 0.03)
         driver.query("some", [0])
         driver.handle(
             *[
                 driver.ended(*key, Outcome.SERVED, 0.03)
                 for key in driver.out()
-                if driver.query_of[key[0]] >= heard and driver.kind_of(key[0]) == "some"
+                if driver.query_of[key[0]] >= answered and driver.kind_of(key[0]) == "some"
             ]
         )
         driver.at(driver.now + 0.03)
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -229,7 +229,7 @@
     for query in list(driver.kinds):
         driver.kinds.pop(
             query
-        )  # the aggregator stood still past every deadline: these are the client's
+        )  # the aggregator was stalled past every deadline: the clients have disconnected
     held = [(part, number) for part, number in driver.out()]
     driver.aggregator.handle(driver.now, [])
     driver.at(driver.now + 40.0)
--- a/tests/decisions/test_selection.py
+++ b/tests/decisions/test_selection.py
@@ -45,15 +45,15 @@
     driver = Driver()
     run_queries(driver, 20, 0.05)
     driver.query("all", [0])
-    (stood,) = {send.server for send in driver.sends()}
+    (paused_server,) = {send.server for send in driver.sends()}
     paused = driver.settings.classes["all"].aim * 0.9
     driver.at(driver.now + paused)
     driver.handle(*[driver.ended(*key, Outcome.SERVED, paused) for key in driver.out()])
-    capsule = driver.aggregator.capsules[stood]
+    capsule = driver.aggregator.capsules[paused_server]
     capsule.mean_time = paused  # as when all that was out there came back that late
     finals = [driver.finals.get(driver.query("all", [0, 1])) for _ in range(12)]
     assert finals == [None] * 12
-    assert stood not in {driver.attempts[part][0][0] for part, _ in driver.out()}
+    assert paused_server not in {driver.attempts[part][0][0] for part, _ in driver.out()}
 
 
 def test_slow_server_at_its_bound_comes_after_a_quick_one_with_more_out() -> None:
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -59,7 +59,7 @@
 
 
 def test_rejected_query_spends_no_quota() -> None:
-    """Shards with cold replicas only starved: queries refused for another shard had used the part up."""
+    """Shards with cold replicas only starved: queries rejected for another shard had spent the quota."""
     driver = Driver(make_settings(instances=80), fleet=[entry("s0a", up_since=99.99)])
     driver.at(START + 2.0)  # a process that just began sends nothing there
     driver.query("all", [0, 1])  # shard 1 has no holder
@@ -102,7 +102,7 @@
     )
 
 
-@pytest.mark.parametrize("how", ["a start that is told otherwise", "gone from the list and back"])
+@pytest.mark.parametrize("how", ["another start time", "removed from the list and back"])
 def test_changed_entry_brings_no_fresh_quota(how: str) -> None:
     driver = Driver(make_settings(instances=1), fleet=[])
     driver.at(START + 5.0)
@@ -112,7 +112,7 @@
         for _ in range(20):
             driver.query("all", [0])
             sent += len(driver.sends())
-        if how == "gone from the list and back":
+        if how == "removed from the list and back":
             driver.list([], ListKind.FULL)
             driver.list([entry("s0a", up_since=START + 4.9)], ListKind.FULL)
         else:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -259,7 +259,7 @@
                     if query == action.query_id:
                         assert all(
                             end is not None and end.never_ran for _, _, end in self.attempts[part]
-                        ), "an unsafe query was refused though a part may have run"
+                        ), "an unsafe query was rejected though a part may have run"
 
     def check_final(self, query_id: int, action: Action) -> None:
         assert query_id in self.kinds, "a final answer for a query not held"
