--- a/bench/planted_defects/net.py
+++ b/bench/planted_defects/net.py
@@ -12,7 +12,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/net/server.py",
+        path="stepknot/net/connection.py",
         original="request.arrived = arrived",
         replacement="request.arrived = self.server.loop.now + 2.0",
         tests=(
@@ -20,9 +20,9 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/net/server.py",
-        original="            if close:\n                self.leave()",
-        replacement="            if False:\n                self.leave()",
+        path="stepknot/net/connection.py",
+        original="            if is_last:\n                self.half_close()",
+        replacement="            if False:\n                self.half_close()",
         tests=(
             "tests/broker/test_client_requests.py::test_no_answer_follows_one_that_closes_the_connection",
         ),
@@ -57,7 +57,7 @@
     ),
     PlantedDefect(
         path="stepknot/net/http.py",
-        original="if self.size > self.most:\n            self.over",
+        original="if self.size > self.max_bytes:\n            self.over",
         replacement="if False:\n            self.over",
         tests=(
             "tests/broker/test_node_faults.py::test_a_thirty_megabyte_reply_is_read_and_one_above_the_bound_is_not",
@@ -65,22 +65,22 @@
     ),
     PlantedDefect(
         path="stepknot/net/http.py",
-        original="if len(plain) > most:",
+        original="if len(plain) > max_bytes:",
         replacement="if False:",
         tests=("tests/broker/test_client_requests.py::test_gzip_bombs_and_deep_json_are_rejected",),
     ),
     PlantedDefect(
-        path="stepknot/net/server.py",
-        original="if left > 0:\n            self.timer_set",
-        replacement="if True:\n            self.timer_set",
+        path="stepknot/net/connection.py",
+        original="if left > 0:\n            self.is_timer_set",
+        replacement="if True:\n            self.is_timer_set",
         tests=(
             "tests/broker/test_client_requests.py::test_slow_senders_get_a_timeout_error_and_are_closed",
         ),
     ),
     PlantedDefect(
-        path="stepknot/net/server.py",
-        original="if self.too_slow():\n            self.end_slow()",
-        replacement="if False:\n            self.end_slow()",
+        path="stepknot/net/gate.py",
+        original="if _arrives_too_slowly(connection, gate):",
+        replacement="if False:",
         tests=(
             "tests/admission/test_sockets.py::test_slow_senders_in_every_slot_are_answered_and_closed",
         ),
@@ -108,7 +108,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/net/server.py",
+        path="stepknot/net/connection.py",
         original="gate.release_bytes(self, parser.size)",
         replacement="pass",
         tests=(
@@ -116,8 +116,8 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/net/server.py",
-        original="max(self.link.last_readable, self.free_at)",
+        path="stepknot/net/connection.py",
+        original="max(self.link.last_readable, self.last_answered)",
         replacement="self.link.last_readable",
         tests=(
             "tests/admission/test_sockets.py::test_thousands_of_pipelined_requests_are_served_one_at_a_time",
@@ -132,7 +132,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/net/server.py",
+        path="stepknot/net/connection.py",
         original="            self.link.sock.shutdown(socket.SHUT_WR)\n",
         replacement="            self.link.close()\n",
         tests=(
@@ -140,23 +140,23 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/net/server.py",
-        original="if not data or self.leaving:",
+        path="stepknot/net/connection.py",
+        original="if not data or self.is_half_closed:",
         replacement="if not data:",
         tests=(
             "tests/net/test_server.py::test_a_request_that_crosses_the_half_close_is_not_taken_up",
         ),
     ),
     PlantedDefect(
-        path="stepknot/net/server.py",
-        original="self.server.loop.call_later(LINGER, self.link.close)",
+        path="stepknot/net/connection.py",
+        original="self.server.loop.call_later(LINGER_TIMEOUT, self.link.close)",
         replacement="pass",
         tests=(
             "tests/net/test_server.py::test_a_client_that_stays_after_the_end_is_let_go_after_a_while",
         ),
     ),
     PlantedDefect(
-        path="stepknot/net/server.py",
+        path="stepknot/net/connection.py",
         original="if self.link.reader is None:",
         replacement="if False:",
         tests=(
@@ -164,16 +164,16 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/net/server.py",
-        original="(len(self.first) < READ_AHEAD or self.server.one_at_a_time)",
+        path="stepknot/net/connection.py",
+        original="(len(self.unparsed) < READ_AHEAD_BYTES or self.server.one_at_a_time)",
         replacement="False",
         tests=(
             "tests/net/test_server.py::test_a_client_that_sends_more_than_is_read_and_goes_is_seen_to_go",
         ),
     ),
     PlantedDefect(
-        path="stepknot/net/server.py",
-        original="(len(self.first) < READ_AHEAD or self.server.one_at_a_time)",
+        path="stepknot/net/connection.py",
+        original="(len(self.unparsed) < READ_AHEAD_BYTES or self.server.one_at_a_time)",
         replacement="True",
         tests=(
             "tests/net/test_server.py::test_what_is_read_ahead_is_bounded_and_served_in_its_turn",
@@ -188,8 +188,8 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/net/server.py",
-        original="if arrived > self.server.closed_at + FRESH:",
+        path="stepknot/net/connection.py",
+        original="if arrived > self.server.closed_at + LATE_REQUEST_GRACE:",
         replacement="if False:",
         tests=(
             "tests/net/test_server.py::test_a_request_that_is_whole_only_after_the_end_is_refused_and_not_taken_up",
@@ -197,45 +197,45 @@
     ),
     PlantedDefect(
         path="stepknot/net/server.py",
-        original="if full and len(self.connections) >=",
-        replacement="if full or len(self.connections) >=",
+        original="if is_full and len(self.connections) >=",
+        replacement="if is_full or len(self.connections) >=",
         tests=("tests/net/test_server.py::test_who_finds_no_room_is_told_so",),
     ),
     PlantedDefect(
-        path="stepknot/net/server.py",
-        original="            not self.in_work\n",
-        replacement="            not self.busy\n",
+        path="stepknot/net/connection.py",
+        original="            not self.in_progress\n",
+        replacement="            not self.is_busy\n",
         tests=(
             "tests/net/test_server.py::test_an_answer_that_is_being_written_is_written_whole_whatever_ends_meanwhile",
         ),
     ),
     PlantedDefect(
-        path="stepknot/net/server.py",
-        original="if self.in_work:",
-        replacement="if self.busy:",
+        path="stepknot/net/connection.py",
+        original="if self.in_progress:",
+        replacement="if self.is_busy:",
         tests=(
             "tests/net/test_server.py::test_an_answer_that_is_being_written_is_written_whole_whatever_ends_meanwhile",
         ),
     ),
     PlantedDefect(
         path="stepknot/net/server.py",
-        original="(each.leaving or not each.in_work)",
-        replacement="(each.leaving or not each.busy)",
+        original="(each.is_half_closed or not each.in_progress)",
+        replacement="(each.is_half_closed or not each.is_busy)",
         tests=(
             "tests/net/test_server.py::test_an_answer_that_is_being_written_is_written_whole_whatever_ends_meanwhile",
         ),
     ),
     PlantedDefect(
         path="stepknot/net/server.py",
-        original="max(each.begun, each.free_at)",
-        replacement="each.free_at > 0",
+        original="max(connection.request_started, connection.last_answered)",
+        replacement="connection.last_answered > 0",
         tests=(
             "tests/platform/test_requests.py::test_new_connections_are_not_evicted_for_those_between_requests",
         ),
     ),
     PlantedDefect(
         path="stepknot/net/server.py",
-        original="while len(self.idle) > self.most_idle:",
+        original="while len(self.idle) > self.max_idle:",
         replacement="while False:",
         tests=(
             "tests/platform/test_requests.py::test_connections_between_requests_are_bounded_and_the_latest_stay",
@@ -250,17 +250,17 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/net/server.py",
-        original="if server.closing and self.free_at:",
-        replacement="if server.leaving:",
+        path="stepknot/net/connection.py",
+        original="if server.is_closed and self.last_answered:",
+        replacement="if server.is_draining:",
         tests=(
             "tests/net/test_server.py::test_a_connection_that_comes_while_the_front_still_sends_is_waited_for",
         ),
     ),
     PlantedDefect(
-        path="stepknot/net/server.py",
-        original="                self.server.limits.write,\n",
-        replacement="                None,\n",
+        path="stepknot/net/connection.py",
+        original="yield from self.link.send(data, self.server.limits.write, *min_rate)",
+        replacement="yield from self.link.send(data, None, *min_rate)",
         tests=("tests/platform/test_hard_cases.py::test_slow_reader_delays_only_its_own_answers",),
     ),
     PlantedDefect(
--- a/bench/trace_packages/net.py
+++ b/bench/trace_packages/net.py
@@ -9,6 +9,7 @@
 
 from bench.scripted_network import Peer, ScriptedListener, ScriptedNetwork, ScriptedSocket
 from bench.trace_packages.trace import Trace
+from stepknot.net.connection import Connection
 from stepknot.net.errors import HttpError
 from stepknot.net.http import (
     ClientParser,
@@ -21,7 +22,7 @@
     retry_headers,
 )
 from stepknot.net.loop import Loop
-from stepknot.net.server import Connection, Server
+from stepknot.net.server import Server
 from stepknot.net.tasks import Coroutine, Future
 
 EXPECTED = "311e14074fcc736308ad66aa47d4bbf111aecb4f6463dc21696d63c02fe8a755"
@@ -244,7 +245,7 @@
         self.listener: ScriptedListener = self.server.listener.link.sock
         self.server.connections = OrderedSet()
         if seed % 2:
-            self.server.most, self.server.most_idle = 12, 4
+            self.server.max_connections, self.server.max_idle = 12, 4
         self.server.one_at_a_time = seed % 4 < 2
 
     def on_failure(self, name: str, error: BaseException) -> None:
@@ -273,7 +274,7 @@
         """Play the run: four seconds of clients, then the shutdown."""
         while self.network.time < 104.0:
             self.step()
-        self.server.leaving = True
+        self.server.is_draining = True
         while self.network.time < 104.5:
             self.step()
         self.server.close()
@@ -281,7 +282,10 @@
             self.turn()
         server = self.server
         self.trace.add(
-            server.silent, server.turned_away, server.deserted, self.server.listener.pause_count
+            server.timed_out_count,
+            server.rejected_count,
+            server.abandoned_count,
+            self.server.listener.pause_count,
         )
         self.network.mute()
         self.trace = self.network.trace
@@ -301,5 +305,5 @@
         """One turn of the loop."""
         self.loop.turn()
         connections = self.server.connections
-        leaving = sum(each.leaving for each in connections)
+        leaving = sum(each.is_half_closed for each in connections)
         self.trace.add(len(connections), leaving, len(self.server.idle), self.loop.behind)
--- a/stepknot/broker/admin/routes.py
+++ b/stepknot/broker/admin/routes.py
@@ -16,8 +16,8 @@
     json_response,
 )
 from stepknot.broker.core import Core
+from stepknot.net.connection import Connection
 from stepknot.net.http import Request
-from stepknot.net.server import Connection
 from stepknot.net.tasks import Coroutine
 from stepknot.zones.failover import ZoneFailover
 
--- a/stepknot/broker/admission_gate.py
+++ b/stepknot/broker/admission_gate.py
@@ -28,10 +28,11 @@
     WaitingConnection,
     content_length,
 )
+from stepknot.net.connection import Connection
 from stepknot.net.http import Response
 from stepknot.net.link import Link
 from stepknot.net.loop import Loop
-from stepknot.net.server import Connection, Server
+from stepknot.net.server import Server
 
 SWEEP_INTERVAL = 0.1  # seconds between looks at the waiting connections
 
--- a/stepknot/broker/query_admission.py
+++ b/stepknot/broker/query_admission.py
@@ -12,9 +12,9 @@
 from stepknot.admission.model import QuerySlot, Verdict
 from stepknot.broker.admission_rejections import Frontend, Rejections
 from stepknot.broker.peer_addresses import PeerAddresses
+from stepknot.net.connection import Connection
 from stepknot.net.http import Request
 from stepknot.net.loop import Loop
-from stepknot.net.server import Connection
 from stepknot.net.tasks import Coroutine
 
 MIN_ERROR_STATUS = 400  # of HTTP
--- a/stepknot/frontends/graphql/app.py
+++ b/stepknot/frontends/graphql/app.py
@@ -27,9 +27,9 @@
 from stepknot.frontends.graphql.run import REFUSED, ClientGone, Runner, Said
 from stepknot.frontends.graphql.shape import make_schema, shape
 from stepknot.frontends.jsonbody import read_json
+from stepknot.net.connection import Connection
 from stepknot.net.errors import HttpError
 from stepknot.net.http import Request, Response, retry_headers
-from stepknot.net.server import Connection
 from stepknot.net.tasks import Park
 from stepknot.search.errors import RequestError
 from stepknot.search.request import seconds_of
--- a/stepknot/frontends/search/app.py
+++ b/stepknot/frontends/search/app.py
@@ -18,9 +18,9 @@
 from stepknot.frontends.search import replies
 from stepknot.frontends.search.admin import Admin
 from stepknot.frontends.search.replies import reply
+from stepknot.net.connection import Connection
 from stepknot.net.errors import HttpError
 from stepknot.net.http import Request, Response, retry_headers
-from stepknot.net.server import Connection
 from stepknot.net.tasks import Park
 from stepknot.search.errors import RequestError, unsupported
 from stepknot.search.merge import Target
--- /dev/null
+++ b/stepknot/net/connection.py
@@ -0,0 +1,388 @@
+"""One client's connection of an HTTP/1.1 server: reads ahead within bounds, answers in order.
+
+Invariants, numbered on from those of `stepknot.net.loop`:
+
+5. A connection ends in one of two ways. `Connection.half_close` lets what was written arrive; what is
+   received after it is read and dropped for a while, since closing a socket with unread bytes would
+   reset the connection and lose the last answer. `Link.close` is for peers that disconnected, and where
+   the descriptor is needed now.
+6. What is received after a half-close makes no request.
+7. While a request is in progress, bytes behind it are read too, within a bound: the client's end may
+   follow them.
+"""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Callable, Generator
+from typing import TYPE_CHECKING, Any
+
+from stepknot.net.errors import HttpError, WaitTimeoutError
+from stepknot.net.gate import (
+    CAPACITY_INTERVAL,
+    READ_BYTES,
+    admit_bytes,
+    read_proxy_header,
+    schedule_progress_check,
+)
+from stepknot.net.http import Request, Response, ServerParser, encode_response
+from stepknot.net.link import Link
+from stepknot.net.tasks import NEXT_TURN, Coroutine, Park
+
+if TYPE_CHECKING:
+    from stepknot.net.server import Server
+
+READ_AHEAD_BYTES = 16 * 1024  # behind a request in progress; more: see `Server.one_at_a_time`
+LINGER_TIMEOUT = 2.0  # seconds for the peer to read the last answer and to end its side
+DROP_BATCH = 16  # chunks that are read and dropped in a row before other tasks have their turn
+LATE_REQUEST_GRACE = 0.2  # seconds after the listener closed in which requests are still accepted
+CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+Handler = Callable[[Request, "Connection"], Generator[Park, Any, Response | None]]
+
+
+class Connection:
+    """One client.
+
+    A single lazy timer watches for time-outs: most waits need none of their own.
+
+    Attributes:
+        number: by which the gate knows the connection.
+        unparsed: bytes that were read and not parsed.
+        is_over_limit: there is no capacity for it: its first request is rejected.
+        is_busy: a request is in progress.
+        is_half_closed: nothing that is received counts any more.
+        has_overrun: more than `READ_AHEAD_BYTES` came behind a request; the connection ends after it.
+        disconnect_callback: called once when the client disconnects during a request.
+        deadline: when the client must have sent what it is expected to send, by the loop's clock.
+        is_timer_set: whether the timer for the deadline is scheduled.
+        is_progress_scheduled: whether a check of how fast the request arrives is scheduled.
+        request_started: when the request that is arriving began, or the connection was accepted.
+        request_bytes: received of that request.
+        last_answered: when the last answer was made, 0 where there was none.
+    """
+
+    __slots__ = (
+        "deadline",
+        "disconnect_callback",
+        "has_overrun",
+        "is_busy",
+        "is_half_closed",
+        "is_over_limit",
+        "is_progress_scheduled",
+        "is_timer_set",
+        "last_answered",
+        "link",
+        "number",
+        "parser",
+        "peer",
+        "request_bytes",
+        "request_started",
+        "server",
+        "task",
+        "unparsed",
+    )
+
+    def __init__(
+        self,
+        server: Server,
+        link: Link,
+        peer: tuple[Any, ...],
+        number: int = 0,
+        unparsed: bytes = b"",
+        is_over_limit: bool = False,
+    ) -> None:
+        self.server = server
+        self.link = link
+        self.peer = peer
+        self.number = number
+        self.unparsed = unparsed
+        self.is_over_limit = is_over_limit
+        self.is_busy = False
+        self.is_half_closed = False
+        self.has_overrun = False
+        self.request_started = server.loop.now
+        self.request_bytes = 0
+        self.last_answered = 0.0
+        self.parser = ServerParser(server.limits)
+        self.disconnect_callback: Callable[[], None] | None = None
+        self.is_timer_set = False
+        self.is_progress_scheduled = False
+        link.on_peer_closed = self._on_peer_closed
+        link.on_readable = self._read_ahead
+        self.deadline = 0.0
+        self.set_deadline(server.limits.first_byte)
+        self.task = server.loop.spawn(self._serve(), "connection", patient=True)
+
+    @property
+    def in_progress(self) -> bool:
+        """Whether a request is, or its answer is being written: only its peer may end the connection then."""
+        return self.is_busy or self.link.unsent > 0
+
+    def on_disconnect(self, callback: Callable[[], None]) -> None:
+        """Call back when the client disconnects during this request, at once where it already has."""
+        self.disconnect_callback = callback
+        if self.link.peer_closed:
+            self._on_peer_closed()
+
+    # --- time-outs
+
+    def set_deadline(self, seconds: float) -> None:
+        """Expect the next step of the client within this time."""
+        self.deadline = self.server.loop.now + seconds
+        if not self.is_timer_set:
+            self.is_timer_set = True
+            self.server.loop.call_at(self.deadline, self.check_deadline)
+
+    def check_deadline(self) -> None:
+        """End the connection where its deadline passed; called by its timer."""
+        self.is_timer_set = False
+        if self.link.closed or self.is_half_closed:
+            return
+        left = self.deadline - self.server.loop.now
+        if self.in_progress:  # bounded by the query's own time
+            left = max(left, self.server.limits.idle)
+        if left > 0:
+            self.is_timer_set = True
+            self.server.loop.call_later(left, self.check_deadline)
+        elif self.parser.started:
+            if self.link.reader is None:  # after a stall: received bytes wait to be read
+                self.set_deadline(CAPACITY_INTERVAL)
+            else:
+                self.reject_slow_request()
+        elif self.link.peek():  # received just now, and not read yet
+            self.set_deadline(LINGER_TIMEOUT)
+        else:
+            self.server.timed_out_count += 1
+            self.half_close()
+
+    def reject_slow_request(self) -> None:
+        """Answer a request that does not arrive in time, and end the connection."""
+        error = HttpError(408, "the request took too long to arrive")
+        self.link.send_now(encode_response(self.server.on_error(error), None, True))
+        self.server.timed_out_count += 1
+        self.half_close()
+
+    # --- the end
+
+    def half_close(self) -> None:
+        """End a connection without a request in progress; what was written still arrives (invariant 5)."""
+        if self.is_half_closed or self.link.closed:
+            return
+        self.is_half_closed = True
+        self.server.idle.pop(self, None)
+        try:
+            self.link.sock.shutdown(socket.SHUT_WR)
+        except OSError:  # the peer disconnected
+            self.link.close()
+            return
+        self.server.loop.call_later(LINGER_TIMEOUT, self.link.close)
+
+    def half_close_if_idle(self) -> None:
+        """End the connection unless a request is in progress, is arriving or waits unread."""
+        if (
+            not self.in_progress
+            and not self.parser.started
+            and not self.unparsed
+            and self.link.peek() is None
+        ):
+            self.half_close()
+
+    def _drop_received(self) -> Coroutine:
+        """Read and drop until the peer ends its side, or the time after the half-close is over."""
+        count = 0
+        while not self.link.closed and (yield from self.link.recv(READ_BYTES)):
+            count += 1
+            if count % DROP_BATCH == 0:
+                yield from self.server.loop.sleep(0.0)
+
+    def _on_peer_closed(self) -> None:
+        if self.is_busy and self.disconnect_callback is not None:
+            callback, self.disconnect_callback = self.disconnect_callback, None
+            callback()
+
+    # --- reading
+
+    def _read_ahead(self) -> None:
+        """Read what comes behind a request in progress, up to a bound.
+
+        Beyond it the rest stays with the kernel, or, where clients send one request at a time, is
+        dropped: the client's end may follow it (invariant 7).
+        """
+        count = 0
+        while (
+            self.is_busy
+            and not self.link.peer_closed
+            and (len(self.unparsed) < READ_AHEAD_BYTES or self.server.one_at_a_time)
+        ):
+            count += 1
+            if count > DROP_BATCH:
+                self.server.loop.call_later(NEXT_TURN, self._read_ahead)
+                return
+            try:
+                data = self.link.recv_now(READ_BYTES)
+            except OSError:
+                data = b""
+            if data is None:
+                return
+            if not data:
+                self.link.peer_closed = True
+                self._on_peer_closed()
+            elif len(self.unparsed) >= READ_AHEAD_BYTES:
+                self.has_overrun = True
+            else:
+                self.unparsed += data
+
+    def _serve(self) -> Coroutine:
+        try:
+            yield from self._serve_requests()
+            if self.is_half_closed:
+                yield from self._drop_received()
+        except (OSError, WaitTimeoutError):
+            pass  # the peer disconnected, or is too slow
+        finally:
+            self._on_end()
+
+    def _on_end(self) -> None:
+        self._on_peer_closed()
+        self.link.close()
+        # These are reference cycles, with the link and the parser.
+        self.link.on_peer_closed = None
+        self.link.on_readable = None
+        self.parser.parser = None
+        self.server.connections.discard(self)
+        self.server.idle.pop(self, None)
+        if self.server.gate is not None:
+            self.server.gate.on_close(self.number)
+
+    def _serve_requests(self) -> Coroutine:
+        """Read and answer until the connection ends."""
+        parser, gate = self.parser, self.server.gate
+        if (
+            gate is not None
+            and gate.expects_proxy(self)
+            and not (yield from read_proxy_header(self))
+        ):
+            return
+        while True:
+            while not parser.requests:
+                if not (yield from self._read_more()):
+                    return
+            if not (yield from self._answer_requests()):
+                return
+            if parser.started:
+                self._start_request()
+                if gate is not None:
+                    gate.release_bytes(self, parser.size)
+            else:
+                self._become_idle()
+
+    def _start_request(self) -> None:
+        """A request began to arrive behind one that was answered."""
+        self.request_started = self.server.loop.now
+        self.request_bytes = 0
+        self.set_deadline(self.server.limits.body_time)
+        schedule_progress_check(self)
+
+    def _become_idle(self) -> None:
+        gate, idle_timeout = self.server.gate, self.server.limits.idle
+        if gate is not None:
+            gate.on_idle(self)
+            idle_timeout = gate.idle_timeout(idle_timeout)
+        self.set_deadline(idle_timeout)
+        self.server.note_idle(self)
+
+    def _read_more(self) -> Generator[Park, Any, bool]:
+        """Read and parse once; returns whether the connection goes on."""
+        server, parser = self.server, self.parser
+        if server.is_closed and self.last_answered:
+            self.half_close_if_idle()
+        if self.has_overrun:
+            self.half_close()
+        if self.is_half_closed:
+            return False
+        data = self.unparsed or (yield from self.link.recv(READ_BYTES))
+        self.unparsed = b""
+        server.idle.pop(self, None)
+        if not data or self.is_half_closed:
+            return False
+        had_started = parser.started
+        if server.gate is not None and not (yield from admit_bytes(self, len(data))):
+            return False
+        try:
+            parser.feed(data)
+        except HttpError as error:
+            yield from self._reject_malformed(error)
+            return False
+        if parser.expects and parser.started:
+            parser.expects = False
+            yield from self.link.send(CONTINUE, server.limits.write)
+        if parser.started and not had_started:
+            self.set_deadline(server.limits.body_time)
+            schedule_progress_check(self)
+        return True
+
+    # --- answering
+
+    def _answer_requests(self) -> Generator[Park, Any, bool]:
+        """Answer all parsed requests in order; returns whether the connection goes on."""
+        # The time of a pipelined request begins once the one before it is answered, also where its bytes
+        # were received long before and are read only now.
+        requests, arrived = self.parser.requests, max(self.link.last_readable, self.last_answered)
+        while requests:
+            if self.link.disconnected():  # most of a backlog after a stall
+                self.server.abandoned_count += len(requests)
+                return False
+            request = requests.popleft()
+            request.arrived = arrived
+            self._begin_progress()
+            rejection = self._make_rejection(arrived)
+            response = rejection or (yield from self.server.handler(request, self))
+            self._end_progress()
+            arrived = self.last_answered = self.server.loop.now
+            if response is None or self.link.closed:
+                return False
+            is_last = rejection is not None or not request.keep_alive or self.server.is_ending
+            data = encode_response(response, request, is_last)
+            gate = self.server.gate
+            min_rate = (gate.settings.progress, gate.settings.grace) if gate is not None else ()
+            yield from self.link.send(data, self.server.limits.write, *min_rate)
+            if is_last:
+                self.half_close()
+                return False
+        return True
+
+    def _begin_progress(self) -> None:
+        self.is_busy = True
+        self.task.patient = False
+        if self.link.can_read:
+            self._read_ahead()
+
+    def _end_progress(self) -> None:
+        self.is_busy = False
+        self.task.patient = True
+        self.disconnect_callback = None
+
+    def _make_rejection(self, arrived: float) -> Response | None:
+        """The rejection of a request that is not accepted any more; a retry elsewhere is harmless."""
+        if self.is_over_limit:
+            return self.server.on_error(HttpError(503, "no room for a connection"))
+        if arrived > self.server.closed_at + LATE_REQUEST_GRACE:
+            return self.server.on_error(HttpError(503, "shutting down"))
+        return None
+
+    def _reject_malformed(self, error: HttpError) -> Coroutine:
+        """Answer the requests before the malformed one, then reject it."""
+        if self.server.gate is not None:
+            self.server.gate.on_protocol_error(self)
+        if (yield from self._answer_requests()):
+            yield from self.reject(error)
+
+    def reject(self, error: HttpError) -> Coroutine:
+        """Answer with an error, and end the connection."""
+        if not self.link.closed:
+            yield from self.send_last(encode_response(self.server.on_error(error), None, True))
+
+    def send_last(self, data: bytes) -> Coroutine:
+        """Send the last answer, and end the connection."""
+        yield from self.link.send(data, self.server.limits.write)
+        self.half_close()
--- a/stepknot/net/http.py
+++ b/stepknot/net/http.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 framing without I/O: bytes in, messages out. The parser is httptools' (llhttp).
 
-`ServerParser` yields whole requests, several where a client pipelines; `ClientParser` one response at a time.
-Every size is bounded: what is over a bound raises `HttpError`, whose status is the answer's.
+`ServerParser` returns complete requests, several where a client pipelines; `ClientParser` one response.
+Every size is bounded: what is over a bound raises `HttpError` with the status of the answer.
 """
 
 from __future__ import annotations
@@ -34,18 +34,19 @@
     501: "Not Implemented",
     503: "Service Unavailable",
 }
-GZIP_FROM = 1400  # bytes: a shorter body fits a packet as it is
-GZIP_LEVEL = 1  # the loop waits for it
+HEADER_OVERHEAD = 4  # bytes of a header line besides its name and value
+GZIP_FROM = 1400  # bytes: a shorter body fits into one packet uncompressed
+GZIP_LEVEL = 1  # compressing holds up the loop
 
 
 @dataclass(frozen=True, slots=True)
 class HttpLimits:
-    """Bytes, and seconds."""
+    """Bounds in bytes and in seconds."""
 
     header: int = 16 * 1024
     url: int = 4 * 1024
     body: int = 32 * 1024 * 1024
-    first_byte: float = 15.0  # from accept to a whole request's header
+    first_byte: float = 15.0  # from accept to a complete request's header
     body_time: float = 30.0  # from a request's first byte to its last
     idle: float = 75.0  # between requests
     write: float = 20.0  # for each step of a slow reader
@@ -53,6 +54,8 @@
 
 @dataclass(slots=True)
 class Request:
+    """One complete request."""
+
     method: str
     path: str
     query: dict[str, str]
@@ -60,15 +63,18 @@
     body: bytes
     keep_alive: bool = True
     http10: bool = False
-    arrived: float = 0.0  # by the loop's clock: when it was there to be read
-    client: str = ""  # whose it is, where that is not the peer
+    arrived: float = 0.0  # by the loop's clock: when its bytes were received
+    client: str = ""  # its address, where that is not the peer's
 
     def parts(self) -> list[str]:
+        """The path's segments, percent-decoded."""
         return [unquote(piece) for piece in self.path.split("/") if piece]
 
 
 @dataclass(slots=True)
 class Response:
+    """One response before it is encoded."""
+
     status: int
     body: bytes = b""
     headers: list[tuple[str, str]] = field(default_factory=list)
@@ -76,7 +82,7 @@
 
 
 def retry_headers(seconds: float) -> list[tuple[str, str]]:
-    """When to return: whole seconds as HTTP has them, never sooner than advised; the exact time beside it."""
+    """Retry-After in whole seconds, rounded up, and the milliseconds beside it; none for 0."""
     if seconds <= 0:
         return []
     return [
@@ -85,27 +91,38 @@
     ]
 
 
-def inflate(data: bytes, most: int) -> bytes:
-    """Of gzip or zlib data, `most` bytes at the most."""
+def inflate(data: bytes, max_bytes: int) -> bytes:
+    """Decompress gzip or zlib data.
+
+    Raises:
+        HttpError: it is malformed, or longer than `max_bytes`.
+    """
     try:
         work = zlib.decompressobj(wbits=47)
-        plain = work.decompress(data, most + 1)
+        plain = work.decompress(data, max_bytes + 1)
     except zlib.error as error:
-        raise HttpError(400, f"body is not valid gzip: {error}") from None
-    if len(plain) > most:
-        raise HttpError(413, f"body is over {most} bytes when unpacked")
+        raise HttpError(400, f"body is not valid gzip: {error}") from error
+    if len(plain) > max_bytes:
+        raise HttpError(413, f"body is over {max_bytes} bytes when unpacked")
     if not work.eof:
         raise HttpError(400, "gzip body is cut short")
     return plain
 
 
 def gzipped(data: bytes) -> bytes:
+    """Compress to gzip."""
     work = zlib.compressobj(GZIP_LEVEL, zlib.DEFLATED, 31)
     return work.compress(data) + work.flush()
 
 
 def encode_response(response: Response, request: Request | None, close: bool) -> bytes:
-    """The bytes of a final answer; a HEAD gets the headers of what a GET would."""
+    """The bytes of a final answer; a HEAD gets the headers of a GET.
+
+    Args:
+        response: the answer.
+        request: what is answered; None where it could not be parsed.
+        close: whether the connection ends after it.
+    """
     body = response.body
     reason = REASONS.get(response.status, "Unknown")
     lines = [f"HTTP/1.1 {response.status} {reason}", f"content-type: {response.content_type}"]
@@ -123,6 +140,7 @@
 
 
 def accepts_gzip(request: Request) -> bool:
+    """Whether the client accepts a compressed answer."""
     for item in request.headers.get("accept-encoding", "").split(","):
         name, _, rest = item.strip().partition(";")
         if name.strip().lower() == "gzip":
@@ -131,86 +149,105 @@
 
 
 class ServerParser:
-    """Fed bytes, it fills `requests`. After an HttpError it must not be fed again."""
+    """Parses a client's stream. After an HttpError it must not be fed again.
+
+    Attributes:
+        requests: complete ones that were not taken yet.
+        started: a request has begun and is not complete.
+        expects: its client waits for 100 Continue before it sends the body.
+    """
 
     __slots__ = (
+        "chunks",
+        "error",
+        "expects",
+        "header_size",
+        "headers",
         "limits",
-        "requests",
         "parser",
-        "url",
-        "headers",
-        "pieces",
+        "requests",
         "size",
-        "header_size",
-        "error",
         "started",
-        "expects",
+        "url",
     )
 
     def __init__(self, limits: HttpLimits) -> None:
         self.limits = limits
         self.requests: deque[Request] = deque()
         self.parser: httptools.HttpRequestParser | None = None
-        self.started = False  # a request has begun and is not whole
-        self.expects = False  # its sender waits for a word before it sends the body
+        self.started = False
+        self.expects = False
         self.error: HttpError | None = None
 
     def feed(self, data: bytes) -> None:
+        """Take bytes as they were received.
+
+        Raises:
+            HttpError: they are malformed or over a bound.
+        """
         if self.parser is None:
             self.parser = httptools.HttpRequestParser(self)
         if not self.started:
-            self.begin()
+            self._begin()
             self.started = True
         try:
             self.parser.feed_data(data)
-        except httptools.HttpParserUpgrade:
-            raise HttpError(400, "protocol upgrades are not spoken here") from None
+        except httptools.HttpParserUpgrade as error:
+            raise HttpError(400, "protocol upgrades are not spoken here") from error
         except httptools.HttpParserError as error:
             raise self.error or HttpError(400, f"malformed HTTP request: {error}") from None
         if self.started and self.header_size + len(self.url) > self.limits.header + self.limits.url:
             raise HttpError(431, f"request header is over {self.limits.header} bytes")
 
-    def begin(self) -> None:
-        self.url, self.size, self.header_size = b"", 0, 0
-        self.pieces: list[bytes] = []
+    def _begin(self) -> None:
+        self.url = b""
+        self.size = 0
+        self.header_size = 0
+        self.chunks: list[bytes] = []
         self.headers: dict[str, str] = {}
 
-    def refuse(self, status: int, reason: str) -> None:
+    def _reject(self, status: int, reason: str) -> None:
         self.error = HttpError(status, reason)
         raise self.error
 
     # --- called by httptools
 
     def on_message_begin(self) -> None:
-        self.begin()
+        """A request begins."""
+        self._begin()
         self.started = True
 
     def on_url(self, url: bytes) -> None:
+        """A part of the request's target."""
         self.url += url
         if len(self.url) > self.limits.url:
-            self.refuse(414, f"request target is over {self.limits.url} bytes")
+            self._reject(414, f"request target is over {self.limits.url} bytes")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.header_size += len(name) + len(value or b"") + 4
+        """One header."""
+        self.header_size += len(name) + len(value or b"") + HEADER_OVERHEAD
         if self.header_size > self.limits.header:
-            self.refuse(431, f"request header is over {self.limits.header} bytes")
+            self._reject(431, f"request header is over {self.limits.header} bytes")
         key = name.decode("latin-1").lower()
         self.headers[key] = (value or b"").decode("latin-1")
         if key == "content-length" and int(self.headers[key] or 0) > self.limits.body:
-            self.refuse(413, f"request body is over {self.limits.body} bytes")
+            self._reject(413, f"request body is over {self.limits.body} bytes")
 
     def on_headers_complete(self) -> None:
+        """The request's head is complete."""
         self.expects = self.headers.get("expect", "").lower() == "100-continue"
 
     def on_body(self, body: bytes) -> None:
+        """A part of the request's body."""
         self.size += len(body)
         if self.size > self.limits.body:
-            self.refuse(413, f"request body is over {self.limits.body} bytes")
-        self.pieces.append(body)
+            self._reject(413, f"request body is over {self.limits.body} bytes")
+        self.chunks.append(body)
 
     def on_message_complete(self) -> None:
+        """The request is complete."""
         assert self.parser is not None
-        body = b"".join(self.pieces)
+        body = b"".join(self.chunks)
         coding = self.headers.get("content-encoding", "").lower()
         if coding in ("gzip", "deflate"):
             try:
@@ -219,7 +256,7 @@
                 self.error = error
                 raise
         elif coding not in ("", "identity"):
-            self.refuse(415, f"content-encoding [{coding}] is not supported")
+            self._reject(415, f"content-encoding [{coding}] is not supported")
         path, _, query = self.url.decode("latin-1").partition("?")
         self.requests.append(
             Request(
@@ -232,74 +269,91 @@
                 self.parser.get_http_version() == "1.0",
             )
         )
-        self.started, self.expects, self.pieces = False, False, []
+        self.started = False
+        self.expects = False
+        self.chunks = []
 
 
 class ClientParser:
-    """Fed bytes of one response; `done` once it is whole."""
+    """Parses one response.
+
+    Attributes:
+        done: whether the response is complete; `status`, `headers` and `keep_alive` are set then.
+    """
 
     __slots__ = (
-        "most",
-        "parser",
-        "status",
-        "headers",
-        "pieces",
-        "size",
+        "chunks",
         "done",
+        "headers",
         "keep_alive",
+        "max_bytes",
         "over",
+        "parser",
+        "size",
+        "status",
     )
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
-        self.status, self.size, self.done, self.keep_alive, self.over = 0, 0, False, False, False
+        self.status = 0
+        self.size = 0  # bytes of headers and body
+        self.done = False
+        self.keep_alive = False
+        self.over = False  # the bound
         self.headers: dict[str, str] = {}
-        self.pieces: list[bytes] = []
+        self.chunks: list[bytes] = []
 
     def feed(self, data: bytes) -> None:
+        """Take bytes as they were received.
+
+        Raises:
+            HttpError: they are malformed, over the bound, or behind the response.
+        """
         if self.done or self.parser is None:
             raise HttpError(502, "bytes after the response")
         try:
             self.parser.feed_data(data)
-        except Exception as error:  # noqa: BLE001 - whatever the peer sent, it is malformed
-            reason = (
-                f"response is over {self.most} bytes"
-                if self.over
-                else f"malformed response: {error}"
-            )
-            raise HttpError(502, reason) from None
+        except Exception as error:  # httptools wraps what its callbacks raise
+            too_long = f"response is over {self.max_bytes} bytes"
+            reason = too_long if self.over else f"malformed response: {error}"
+            raise HttpError(502, reason) from error
 
     def release(self) -> None:
-        """Nothing more is fed: part with the parser, which holds this in turn."""
+        """Drop the parser, which refers to this object in turn: nothing more is fed."""
         self.parser = None
 
     def body(self) -> bytes:
-        data = b"".join(self.pieces)
+        """The response's body, decompressed. Raises HttpError."""
+        data = b"".join(self.chunks)
         if self.headers.get("content-encoding", "").lower() in ("gzip", "deflate"):
-            return inflate(data, self.most)
+            return inflate(data, self.max_bytes)
         return data
 
     # --- called by httptools
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """One header."""
         self.size += len(name) + len(value or b"")
-        self.check()
+        self._check_size()
         self.headers[name.decode("latin-1").lower()] = (value or b"").decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
+        """A part of the response's body."""
         self.size += len(body)
-        self.check()
-        self.pieces.append(body)
+        self._check_size()
+        self.chunks.append(body)
 
-    def check(self) -> None:
-        if self.size > self.most:
+    def _check_size(self) -> None:
+        if self.size > self.max_bytes:
             self.over = True
             raise ValueError("too long")
 
     def on_message_complete(self) -> None:
+        """The response is complete."""
         if self.done:
             raise ValueError("a second response")
         assert self.parser is not None
-        self.status, self.done = self.parser.get_status_code(), True
+        self.status = self.parser.get_status_code()
+        self.done = True
         self.keep_alive = bool(self.parser.should_keep_alive())
--- a/stepknot/platform/service.py
+++ b/stepknot/platform/service.py
@@ -21,10 +21,11 @@
 from stepknot.broker.core import Core, CoreOptions
 from stepknot.broker.process import BrokerProcess
 from stepknot.interface import ListKind, ListReceived, ServerState
+from stepknot.net.connection import Connection
 from stepknot.net.errors import HttpError
 from stepknot.net.http import HttpLimits, Request, Response
 from stepknot.net.loop import SLICE, Loop
-from stepknot.net.server import Connection, Server
+from stepknot.net.server import Server
 from stepknot.net.tasks import Coroutine
 from stepknot.platform import requests
 from stepknot.platform.config import Config
@@ -144,8 +145,8 @@
     def _make_server(self) -> Server:
         address = self.config.listen_address
         server = Server(self.loop, *address, self.handle, LIMITS, self.on_http_error)
-        server.most, server.one_at_a_time = self._max_clients(), True
-        server.most_idle = self.config.max_descriptors * IDLE_CLIENT_FRACTION
+        server.max_connections, server.one_at_a_time = self._max_clients(), True
+        server.max_idle = self.config.max_descriptors * IDLE_CLIENT_FRACTION
         return server
 
     def _max_clients(self) -> int:
@@ -271,7 +272,7 @@
     def shut_down(self) -> Coroutine:
         """Shut down gracefully, see the module."""
         self.log("shutdown_started", queries=len(self.core.queries))
-        self.server.leaving = True
+        self.server.is_draining = True
         yield from self.loop.sleep(ACCEPT_AFTER_STOP)
         self.server.close()
         classes = self.config.settings.classes.values()
@@ -284,7 +285,7 @@
         self.loop.stop()
 
     def _has_unfinished_connections(self) -> bool:
-        return any(not each.leaving for each in self.server.connections)
+        return any(not each.is_half_closed for each in self.server.connections)
 
     def _wait_while(self, max_seconds: float, condition: Callable[[], bool]) -> Coroutine:
         until = self.loop.now + max_seconds
--- a/stepknot/simulation/scale_members.py
+++ b/stepknot/simulation/scale_members.py
@@ -27,11 +27,12 @@
 from stepknot.config.membership import Peers
 from stepknot.leases.settings import LeaseSettings
 from stepknot.membership.model import MembershipSettings, State
+from stepknot.net.connection import Connection
 from stepknot.net.datagrams import Datagrams
 from stepknot.net.errors import HttpError
 from stepknot.net.http import HttpLimits, Request, Response
 from stepknot.net.loop import Loop
-from stepknot.net.server import Connection, Server
+from stepknot.net.server import Server
 from stepknot.net.tasks import Park
 from stepknot.simulation.scale_leases import SimulatedOwner
 
--- a/stepknot/simulation/stand_in_node.py
+++ b/stepknot/simulation/stand_in_node.py
@@ -24,10 +24,11 @@
 from stepknot.config.settings import Config, Index
 from stepknot.discovery.endpoint_file import read_endpoint_list
 from stepknot.interface import Effect, Outcome, Rules
+from stepknot.net.connection import Connection
 from stepknot.net.errors import HttpError
 from stepknot.net.http import ClientParser, HttpLimits, Request, Response
 from stepknot.net.loop import Loop
-from stepknot.net.server import Connection, Server
+from stepknot.net.server import Server
 from stepknot.net.tasks import Coroutine, Future, Park
 from stepknot.nodes.connection_pool import ConnectionPool
 from stepknot.nodes.exchange import Exchange
@@ -376,7 +377,7 @@
                     "status": 429,
                 }
                 left -= 1
-        connection.gone = lambda: done.set(None)
+        connection.disconnect_callback = lambda: done.set(None)
         if left:
             yield from done.wait()
         if left:
--- a/tests/broker/test_stalls_and_shutdown.py
+++ b/tests/broker/test_stalls_and_shutdown.py
@@ -11,8 +11,8 @@
 import pytest
 
 from stepknot.broker.query import Query
+from stepknot.net.connection import Connection
 from stepknot.net.http import Request, Response
-from stepknot.net.server import Connection
 from stepknot.net.tasks import Park
 from tests.broker.scripted import (
     SEARCH,
@@ -92,7 +92,7 @@
     go.set()
     assert document_names(stayer.read().body) == {"s0", "s1"}
     assert run.call(
-        lambda: (run.service.core.counts["queries"] - taken, run.service.server.deserted)
+        lambda: (run.service.core.counts["queries"] - taken, run.service.server.abandoned_count)
     ) == (1, 5)
 
 
--- a/tests/net/test_server.py
+++ b/tests/net/test_server.py
@@ -11,10 +11,11 @@
 
 import pytest
 
+from stepknot.net.connection import LATE_REQUEST_GRACE, READ_AHEAD_BYTES, Connection
 from stepknot.net.errors import HttpError
 from stepknot.net.http import HttpLimits, Request, Response
 from stepknot.net.loop import Loop
-from stepknot.net.server import FRESH, READ_AHEAD, Connection, Server
+from stepknot.net.server import Server
 from stepknot.net.tasks import Coroutine, Future
 
 WAIT = 10.0
@@ -94,7 +95,7 @@
     front.until(lambda: front.taken)
     sock.sendall(ASK * 5000)  # far beyond what is read ahead
     front.hold.set(True)
-    front.until(lambda: not any(each.busy for each in front.server.connections))
+    front.until(lambda: not any(each.is_busy for each in front.server.connections))
     got = front.answer_to(sock)
     assert got.count(b"HTTP/1.1") == 1 and got.endswith(b"x" * 1000) and len(got) > 3_000_000
     assert len(front.taken) == 1  # what was read after the end is no request
@@ -103,9 +104,9 @@
 
 def test_a_request_that_crosses_the_half_close_is_not_taken_up(front: Front) -> None:
     sock = front.client(ASK)
-    front.until(lambda: front.taken and not any(each.busy for each in front.server.connections))
+    front.until(lambda: front.taken and not any(each.is_busy for each in front.server.connections))
     (connection,) = front.server.connections
-    connection.leave()
+    connection.half_close()
     sock.sendall(ASK)  # before it can see the end
     assert front.answer_to(sock).count(b"HTTP/1.1") == 1 and len(front.taken) == 1
     sock.close()
@@ -114,9 +115,9 @@
 
 def test_a_client_that_stays_after_the_end_is_let_go_after_a_while(front: Front) -> None:
     sock = front.client(ASK)
-    front.until(lambda: front.taken and not any(each.busy for each in front.server.connections))
+    front.until(lambda: front.taken and not any(each.is_busy for each in front.server.connections))
     begun = time.monotonic()
-    next(iter(front.server.connections)).leave()
+    next(iter(front.server.connections)).half_close()
     front.until(lambda: not front.server.connections)
     assert 1.5 < time.monotonic() - begun < 4.0
     sock.close()
@@ -124,7 +125,7 @@
 
 def test_a_request_cut_short_gets_its_408_though_its_sender_goes_on(front: Front) -> None:
     sock = front.client(b"POST /x HTTP/1.1\r\nhost: h\r\ncontent-length: 60000\r\n\r\nhi")
-    front.until(lambda: any(each.leaving for each in front.server.connections))
+    front.until(lambda: any(each.is_half_closed for each in front.server.connections))
     sock.sendall(b"x" * 10_000)
     assert b" 408 " in front.answer_to(sock) and not front.taken
     sock.close()
@@ -141,10 +142,10 @@
     for number, mask in ready:
         front.loop.links[number].on_event(mask)  # the task is due, and has not had its turn
     front.loop.now = front.loop.clock()
-    connection.timer_set = False
-    connection.check_silence()
+    connection.is_timer_set = False
+    connection.check_deadline()
     front.until(lambda: front.taken)
-    assert not connection.leaving
+    assert not connection.is_half_closed
     sock.close()
 
 
@@ -172,11 +173,11 @@
     front.hold = Future()
     sock = front.client(ASK)
     front.until(lambda: front.taken)
-    count = 20 * READ_AHEAD // len(ASK)
+    count = 20 * READ_AHEAD_BYTES // len(ASK)
     sock.sendall(ASK * count)
     (connection,) = front.server.connections
-    front.until(lambda: len(connection.first) >= READ_AHEAD)
-    assert len(connection.first) <= READ_AHEAD + (1 << 16)
+    front.until(lambda: len(connection.unparsed) >= READ_AHEAD_BYTES)
+    assert len(connection.unparsed) <= READ_AHEAD_BYTES + (1 << 16)
     hold, front.hold = front.hold, None
     hold.set(True)
     front.until(lambda: len(front.taken) == count + 1)
@@ -202,7 +203,7 @@
     for sock in (*asked, late):
         assert b" 200 " in front.answer_to(sock)
     begun = time.monotonic()
-    assert front.answer_to(silent) == b"" and time.monotonic() - begun < 10 * FRESH
+    assert front.answer_to(silent) == b"" and time.monotonic() - begun < 10 * LATE_REQUEST_GRACE
     with pytest.raises(OSError):
         front.client()
     for sock in (*asked, silent, late):
@@ -216,7 +217,7 @@
     sock = front.client(ASK[:-1])
     front.until(lambda: any(each.parser.started for each in front.server.connections))
     front.server.close()
-    front.until(lambda: front.loop.now > front.server.closed_at + FRESH)
+    front.until(lambda: front.loop.now > front.server.closed_at + LATE_REQUEST_GRACE)
     sock.sendall(ASK[-1:])
     assert b" 503 " in front.answer_to(sock) and not front.taken
     sock.close()
@@ -224,7 +225,7 @@
 
 def test_who_finds_no_room_is_told_so(front: Front) -> None:
     """A connection closed without an answer leaves its request in the dark."""
-    front.server.most, front.hold = 16, Future()
+    front.server.max_connections, front.hold = 16, Future()
     busy = [front.client(ASK) for _ in range(16)]
     front.until(lambda: len(front.taken) == 16)
     turned = front.client(ASK)
@@ -233,7 +234,7 @@
     front.until(lambda: len(front.server.connections) == 17)
     beyond = front.client()
     assert front.answer_to(beyond) == b""  # one too many even to be told
-    assert len(front.server.connections) <= 17 and front.server.turned_away == 3
+    assert len(front.server.connections) <= 17 and front.server.rejected_count == 3
     front.hold.set(True)
     for sock in (*busy, turned, waiting, beyond):
         sock.close()
@@ -253,11 +254,11 @@
     if how == "the listener closes":
         front.server.close()
     elif how == "its time is over":
-        connection.deadline, connection.timer_set = 0.0, False
-        connection.check_silence()
+        connection.deadline, connection.is_timer_set = 0.0, False
+        connection.check_deadline()
     else:
         assert not front.server.evict()
-    assert not connection.leaving and not connection.link.closed
+    assert not connection.is_half_closed and not connection.link.closed
     sock.settimeout(WAIT)
     got, done = bytearray(), len(front.body)
     sock.setblocking(False)
@@ -273,9 +274,11 @@
 
 
 def test_a_connection_that_comes_while_the_front_still_sends_is_waited_for(front: Front) -> None:
-    front.server.leaving = True
+    front.server.is_draining = True
     sock = front.client()
-    front.until(lambda: any(each.leaving or each.link.reader for each in front.server.connections))
+    front.until(
+        lambda: any(each.is_half_closed or each.link.reader for each in front.server.connections)
+    )
     sock.sendall(ASK)
     assert b" 200 " in front.answer_to(sock)
     sock.close()
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -233,8 +233,8 @@
         silent = [found.connect() for _ in range(300)]
         assert found.ask().status == 200
         server = found.service.server
-        assert found.call(lambda: len(server.connections)) <= server.most < 256
-        assert server.turned_away >= 300 - server.most
+        assert found.call(lambda: len(server.connections)) <= server.max_connections < 256
+        assert server.rejected_count >= 300 - server.max_connections
         for sock in silent:
             sock.close()
 
@@ -242,13 +242,13 @@
 def test_new_connections_are_not_evicted_for_those_between_requests() -> None:
     with world() as found:
         server = found.service.server
-        found.call(lambda: setattr(server, "most", 20))
+        found.call(lambda: setattr(server, "max_connections", 20))
         stayers = [found.client() for _ in range(20)]
         for client in stayers:
             client.sock.sendall(found.request())
             assert client.read().status == 200
         fresh = [found.client() for _ in range(10)]  # all are there before the first of them asks
-        until(lambda: server.turned_away == 10)
+        until(lambda: server.rejected_count == 10)
         for client in fresh:
             client.sock.sendall(found.request())
             assert client.read().status == 200
@@ -272,7 +272,7 @@
 def test_connections_between_requests_are_bounded_and_the_latest_stay() -> None:
     with world() as found:
         server = found.service.server
-        found.call(lambda: setattr(server, "most_idle", 5))
+        found.call(lambda: setattr(server, "max_idle", 5))
         clients = [found.client() for _ in range(12)]
         for client in clients:
             client.sock.sendall(found.request())
--- a/tests/platform/test_service.py
+++ b/tests/platform/test_service.py
@@ -17,7 +17,7 @@
 import orjson
 import pytest
 
-from stepknot.net.server import FRESH
+from stepknot.net.connection import LATE_REQUEST_GRACE
 from stepknot.platform.discovery import MAX_PROPAGATION_DELAY
 from stepknot.platform.service import (
     ACCEPT_AFTER_STOP,
@@ -251,7 +251,7 @@
         until(lambda: found.nodes[0].calls)
         found.process.send_signal(signal.SIGTERM)
         until(lambda: refused(found.listen))
-        time.sleep(FRESH + 0.1)  # the time itself is what is tested
+        time.sleep(LATE_REQUEST_GRACE + 0.1)  # the time itself is what is tested
         late.sock.sendall(whole[-1:])
         assert late.read().status == 503 and not found.nodes[1].calls
         found.nodes[0].calls[0].answer()
--- a/tests/platform/world.py
+++ b/tests/platform/world.py
@@ -201,17 +201,18 @@
                 pass  # the broker ended it
 
     def begin(self, sock: socket.socket, target: str) -> None:
+        mood = self.mood  # a test changes it once it sees the request
         self.asked.append(target)
         self.asked_at.append(time.monotonic())
         self.watches.append(sock)
-        if self.mood == "lost":
+        if mood == "lost":
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
             sock.close()
-        if self.mood == "refuse":
+        if mood == "refuse":
             sock.sendall(b"HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n")
-        elif self.mood in ("serve", "half", "beats", "empty"):
+        elif mood in ("serve", "half", "beats", "empty"):
             sock.sendall(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
-            if self.mood not in ("half", "empty"):
+            if mood not in ("half", "empty"):
                 self.say(sock, self.rows, True)
 
     def say(self, sock: socket.socket, rows: list[dict[str, Any]], full: bool = False) -> None:
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -30,7 +30,6 @@
     "stepknot/frontends/graphql/run.py": 521,
     "stepknot/frontends/graphql/sdl.py": 448,
     "stepknot/frontends/search/app.py": 766,
-    "stepknot/net/server.py": 489,
     "stepknot/search/aggs.py": 519,
     "stepknot/simulation/day.py": 450,
     "stepknot/simulation/engine.py": 478,
