--- a/bench/planted_defects/membership.py
+++ b/bench/planted_defects/membership.py
@@ -4,7 +4,7 @@
 
 DEFECTS = [
     PlantedDefect(
-        path="stepknot/membership/helpers.py",
+        path="stepknot/membership/helper_selection.py",
         original="        helpers |= dict.fromkeys(self._observers_of(names, others)[: count // 2])\n",
         replacement="        pass\n",
         tests=(
@@ -26,6 +26,7 @@
         tests=(
             "tests/membership/test_dissemination.py::test_a_short_update_of_an_earlier_process_does_not_change_its_successor",
         ),
+        invariant="5",
     ),
     PlantedDefect(
         path="stepknot/membership/anti_entropy.py",
@@ -50,6 +51,7 @@
         tests=(
             "tests/membership/test_suspicion.py::test_a_suspicion_takes_three_confirmations_and_a_death_a_member_that_is_not_isolated",
         ),
+        invariant="3",
     ),
     PlantedDefect(
         path="stepknot/membership/indirect_probes.py",
@@ -58,6 +60,7 @@
         tests=(
             "tests/membership/test_model.py::test_a_member_that_one_observer_does_not_receive_is_confirmed_by_helpers_and_not_suspect",
         ),
+        invariant="1",
     ),
     PlantedDefect(
         path="stepknot/membership/heartbeats.py",
@@ -66,6 +69,7 @@
         tests=(
             "tests/membership/test_refutation.py::test_the_own_death_is_refuted_by_a_greater_incarnation",
         ),
+        invariant="1",
     ),
     PlantedDefect(
         path="stepknot/membership/local_health.py",
@@ -74,6 +78,7 @@
         tests=(
             "tests/membership/test_suspicion.py::test_the_own_pause_is_not_counted_as_silence_of_subjects",
         ),
+        invariant="4",
     ),
     PlantedDefect(
         path="stepknot/membership/correlated_failures.py",
@@ -82,6 +87,7 @@
         tests=(
             "tests/membership/test_model.py::test_a_member_that_nobody_receives_becomes_isolated_and_the_others_go_on",
         ),
+        invariant="3",
     ),
     PlantedDefect(
         path="stepknot/membership/anti_entropy.py",
@@ -106,6 +112,7 @@
         tests=(
             "tests/membership/test_model.py::test_a_member_isolated_for_long_takes_no_share_before_others_stop_counting_it",
         ),
+        invariant="6",
     ),
     PlantedDefect(
         path="stepknot/membership/member_count.py",
@@ -114,6 +121,7 @@
         tests=(
             "tests/membership/test_model.py::test_dead_members_count_while_their_tombstones_are_kept",
         ),
+        invariant="6",
     ),
     PlantedDefect(
         path="stepknot/membership/suspicion.py",
@@ -122,6 +130,7 @@
         tests=(
             "tests/membership/test_suspicion.py::test_a_suspicion_takes_three_confirmations_and_a_death_a_member_that_is_not_isolated",
         ),
+        invariant="1",
     ),
     PlantedDefect(
         path="stepknot/membership/send_budget.py",
@@ -138,6 +147,7 @@
         tests=(
             "tests/membership/test_refutation.py::test_in_a_name_conflict_the_older_process_steps_aside_and_the_newer_stays",
         ),
+        invariant="5",
     ),
     PlantedDefect(
         path="stepknot/membership/refutation.py",
@@ -146,6 +156,7 @@
         tests=(
             "tests/membership/test_model.py::test_a_restart_with_a_clock_set_back_takes_a_greater_epoch",
         ),
+        invariant="5",
     ),
     PlantedDefect(
         path="stepknot/membership/table.py",
@@ -218,7 +229,7 @@
         ),
     ),
     PlantedDefect(
-        path="stepknot/membership/helpers.py",
+        path="stepknot/membership/helper_selection.py",
         original="found.sort(key=lambda other: answered_at",
         replacement="str(lambda other: answered_at",
         tests=(
@@ -232,6 +243,7 @@
         tests=(
             "tests/membership/test_suspicion.py::test_when_many_fail_at_once_a_death_takes_more_confirmations",
         ),
+        invariant="3",
     ),
     PlantedDefect(
         path="stepknot/membership/join.py",
--- a/stepknot/broker/lease_driver.py
+++ b/stepknot/broker/lease_driver.py
@@ -92,7 +92,7 @@
         self.node = LeaseNode(
             process, self.settings, voter, {JOB_NAME: drains.handler()}, seed, self._is_member
         )
-        broker.peering.others[DATAGRAM_MARK] = self._on_datagram
+        broker.peering.other_protocols[DATAGRAM_MARK] = self._on_datagram
         self._timer = broker.loop.call_later(0.0, self._tick)
 
     # For the broker
--- a/stepknot/broker/membership_driver.py
+++ b/stepknot/broker/membership_driver.py
@@ -66,7 +66,7 @@
         self.was_isolated = False
         self.logged_stepping_aside = False
         # Other protocols on this socket, by a datagram's first byte.
-        self.others: dict[bytes, Callable[[bytes], None]] = {}
+        self.other_protocols: dict[bytes, Callable[[bytes], None]] = {}
         self.addresses: dict[str, Address] = {}  # of members, as last known
         if peers.settings.seeds and not self.protocol.join.seeds:
             log("only_own_seed_configured", address=f"{address[0]}:{address[1]}")
@@ -81,7 +81,7 @@
 
     def on_datagram(self, source: tuple[Any, ...], data: bytes) -> None:  # noqa: ARG002
         """Hand a datagram to its protocol."""
-        other = self.others.get(data[:1])
+        other = self.other_protocols.get(data[:1])
         if other is not None:
             other(data)
         else:
--- a/stepknot/membership/indirect_probes.py
+++ b/stepknot/membership/indirect_probes.py
@@ -7,7 +7,7 @@
 
 from stepknot.membership import wire
 from stepknot.membership.heartbeats import Heartbeats
-from stepknot.membership.helpers import HelperSelection
+from stepknot.membership.helper_selection import HelperSelection
 from stepknot.membership.isolation import Isolation
 from stepknot.membership.model import MembershipSettings, Record
 from stepknot.membership.outbox import Outbox
--- a/stepknot/membership/refutation.py
+++ b/stepknot/membership/refutation.py
@@ -81,7 +81,7 @@
             if is_older and record.state not in ABSENT_STATES:
                 self._counts[counters.MET_OLDER_PROCESS] += 1
                 self._outbox.send(now, record.address, wire.Gossip([self._own.record]))
-        elif self._is_an_earlier_one(record):
+        elif self._process_has_ended(record):
             self._take_epoch(now, record.epoch, "an earlier process had this name")
         else:
             self._step_aside(
@@ -90,8 +90,8 @@
                 f"{record.host}:{record.port}",
             )
 
-    def _is_an_earlier_one(self, record: Record) -> bool:
-        """Whether the process of this greater record cannot run any more, or has not to be made way for."""
+    def _process_has_ended(self, record: Record) -> bool:
+        """Whether the process of this greater record cannot run any more, so that its name is free."""
         return (
             not self._own.has_joined
             or record.state in ABSENT_STATES
--- a/stepknot/membership/subject.py
+++ b/stepknot/membership/subject.py
@@ -14,17 +14,14 @@
     last_received: float = -math.inf  # a datagram came from it to this member
     last_sign: float = -math.inf  # the youngest sign of life, received here or reported by a helper
     last_sign_source: str = ""
-    last_received_by_it: float = (
-        -math.inf
-    )  # it received something from this member, as it says itself
+    last_received_by_it: float = -math.inf  # it received something from here, as it says itself
     next_heartbeat: float = 0.0
     next_probe: float = 0.0
     # Who reported a sign of life when nothing was received here: a way round a cut, asked first the next time.
     last_reporter: str = ""
     differs_since: float = math.inf  # since when its view's digest differs from the one here
-    confirmations: dict[str, float] = field(
-        default_factory=dict
-    )  # helpers without a younger observation, and when they said so
+    # Helpers that had no younger observation, and when they said so.
+    confirmations: dict[str, float] = field(default_factory=dict)
 
     def note_sign(self, at: float, source: str) -> None:
         """Take a sign of life, where it is the youngest."""
--- a/stepknot/simulation/scale_leases.py
+++ b/stepknot/simulation/scale_leases.py
@@ -52,7 +52,7 @@
             self.is_member,
         )
         self.sent = 0  # bytes to others
-        member.others[DATAGRAM_MARK] = self.on_datagram
+        member.other_protocols[DATAGRAM_MARK] = self.on_datagram
         self.every = TICK * settings.lease_seconds
         self.timer = loop.call_later(0.0, self.tick)
 
