--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,7 @@
-"""The architecture page names what exists: module paths, dotted names and every package."""
+"""The architecture page names what exists: module paths, dotted names and every package.
+
+Of all other pages for users and developers the paths of modules, tests and pages are checked.
+"""
 
 import ast
 import re
@@ -96,3 +99,31 @@
 def test_package_has_a_row_of_its_own(package: str) -> None:
     packages = BODY.partition("\n## Packages\n")[2].partition("\n## ")[0]
     assert f"\n| `{package}` |" in packages
+
+
+# Pages of the past name files as they were then.
+PAGES = sorted(
+    path
+    for pattern in ("*.md", "docs/*.md", "docs/operators/*.md")
+    for path in ROOT.glob(pattern)
+    if path.name not in ("CHANGELOG.md", "results-log.md", "ARCHITECTURE.md")
+)
+FILE = re.compile(r"(?:[\w.-]+/)*[\w.-]+\.(?:py|md|hcl|toml)")
+PLACES = ("", "stepknot", "docs", "tests", "bench")
+FILES = {
+    path.name
+    for place in ("stepknot", "docs", "tests", "bench", "deploy", "examples")
+    for path in (ROOT / place).rglob("*")
+}
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: page.relative_to(ROOT).as_posix())
+def test_file_on_a_page_exists(page: Path) -> None:
+    missing = []
+    for name in set(code_spans(page.read_text())):
+        if not FILE.fullmatch(name):
+            continue
+        found = any((ROOT / place / name).exists() for place in PLACES)
+        if not found and ("/" in name or name not in FILES):
+            missing.append(name)
+    assert missing == []
