--- a/stepknot/simulation/lease_model_world.py
+++ b/stepknot/simulation/lease_model_world.py
@@ -48,7 +48,7 @@
 
     voter: type[LeaseVoter] = LeaseVoter
     owner: type[LeaseCandidate] = LeaseCandidate
-    told_first: bool = False  # a defect of the carrying out: replies leave before the disk has them
+    replies_first: bool = False  # a defect of the driver: replies are sent before the save
 
 
 @dataclass
@@ -158,7 +158,7 @@
             self.carry(to)
 
     def reply(self, voter: str, to: str, message: Any) -> None:
-        if self.voters[voter].unsaved and not self.parts.told_first:
+        if self.voters[voter].unsaved and not self.parts.replies_first:
             self.waiting[voter].append((to, message))
         else:
             self.sent[to, voter, encode(message)] = None
--- a/tests/leases/test_model.py
+++ b/tests/leases/test_model.py
@@ -1,4 +1,4 @@
-"""Ownership on a virtual clock: random days by seed, clocks that go astray, and what a single fault costs."""
+"""Leases on a virtual clock: random days by seed, clocks beyond the drift, and what a single fault costs."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     assert overlaps > 0
 
 
-class GrantsToAnybody(LeaseVoter):
+class PromisesToAnybody(LeaseVoter):
     """No lease holds anybody back."""
 
     def on_prepare(self, now, sender, request):  # type: ignore[no-untyped-def]
@@ -41,7 +41,7 @@
     found = []
     for seed in range(1, 9):
         with pytest.raises(Breach) as caught:
-            random_day(seed, make_voter=GrantsToAnybody)
+            random_day(seed, make_voter=PromisesToAnybody)
             raise Breach("none")
         found.append(str(caught.value))
     assert any("has two owners" in each for each in found)
@@ -54,7 +54,7 @@
     return fleet
 
 
-def owner_of(fleet: Fleet, job: str) -> str:
+def holder_of(fleet: Fleet, job: str) -> str:
     return next(
         name
         for name, each in fleet.processes.items()
@@ -64,33 +64,33 @@
 
 def test_the_loss_of_a_minority_of_voters_moves_no_job() -> None:
     fleet = ready()
-    owners = {owner_of(fleet, job) for job in fleet.jobs}
+    owners = {holder_of(fleet, job) for job in fleet.jobs}
     free = [name for name in fleet.settings.voters if name not in owners][:2]
     fleet.longest = 0.0
     for name in free:
         fleet.kill(name, disk=False)
     fleet.run(fleet.now + 10.0)
-    assert fleet.longest < 0.3 and {owner_of(fleet, job) for job in fleet.jobs} == owners
+    assert fleet.longest < 0.3 and {holder_of(fleet, job) for job in fleet.jobs} == owners
 
 
 def test_a_crashed_holder_is_succeeded_within_two_and_a_half_leases() -> None:
     for seed in range(1, 9):
         fleet = ready(seed=seed)
         fleet.longest = 0.0
-        fleet.kill(owner_of(fleet, "job0"))
+        fleet.kill(holder_of(fleet, "job0"))
         fleet.run(fleet.now + 8.0)
-        assert owner_of(fleet, "job0") and fleet.longest < 2.5 * fleet.settings.lease_seconds
+        assert holder_of(fleet, "job0") and fleet.longest < 2.5 * fleet.settings.lease_seconds
 
 
 def test_a_job_that_is_handed_over_has_a_holder_within_fifty_milliseconds() -> None:
     for seed in range(1, 9):
         fleet = ready(seed=seed)
-        first = owner_of(fleet, "job0")
+        first = holder_of(fleet, "job0")
         process = fleet.processes[first]
         process.node.hand_over(fleet.clock(process), "job0", "")
         fleet.carry(process)
         fleet.run(fleet.now + 0.05)
-        assert owner_of(fleet, "job0") != first
+        assert holder_of(fleet, "job0") != first
 
 
 def test_without_a_majority_nobody_holds_a_lease_until_one_voter_returns() -> None:
@@ -104,7 +104,7 @@
     )
     fleet.start(fleet.settings.voters[0])
     fleet.run(fleet.now + 4 * fleet.settings.lease_seconds)
-    assert owner_of(fleet, "job0")
+    assert holder_of(fleet, "job0")
 
 
 def test_after_a_majority_lost_its_state_nobody_ever_holds_a_lease_again() -> None:
--- a/tests/leases/test_model_checker.py
+++ b/tests/leases/test_model_checker.py
@@ -186,7 +186,7 @@
 @pytest.mark.parametrize(
     ("way", "scope", "parts"),
     [
-        (WALK, DYING, Parts(told_first=True)),
+        (WALK, DYING, Parts(replies_first=True)),
         (WALK, NO_TIME, Parts(PromisesAnEpochTwice)),
         (PHASES, NO_TIME, Parts(VotesWithoutItsState)),
         (WALK, NO_TIME, Parts(AcceptsAnEarlierEpoch)),
@@ -202,8 +202,8 @@
         if isinstance(each, str)
         else ""
         if isinstance(each, Scope)
-        else "ToldBeforeItIsOnDisk"
-        if each.told_first
+        else "RepliesBeforeTheSave"
+        if each.replies_first
         else (each.voter if each.voter is not LeaseVoter else each.owner).__name__
     ),
 )
@@ -234,7 +234,7 @@
         world.do(due[0])
 
 
-def a_voter_loses_its_memory_between_two_answers(parts: Parts) -> World:
+def a_voter_loses_its_state_between_two_acks(parts: Parts) -> World:
     """A accepts x's record, then loses its memory, and is back before C has the record. No majority holds it then."""
     world = World(NO_TIME, parts).begin()
     world.do(("claim", "x"))
@@ -250,7 +250,7 @@
 
 
 def test_a_reply_from_before_the_state_was_lost_commits_nothing() -> None:
-    world = a_voter_loses_its_memory_between_two_answers(Parts())
+    world = a_voter_loses_its_state_between_two_acks(Parts())
     assert (1, 2) not in world.counted
     for _ in range(2):  # it hears of the first epoch, then asks for the second
         world.do(("claim", "y"))
@@ -258,12 +258,12 @@
     assert (2, 1) in world.counted
 
 
-@pytest.mark.parametrize("defect", ["any reply counts", "the life stays"])
+@pytest.mark.parametrize("defect", ["any reply counts", "the incarnation stays"])
 def test_without_incarnations_that_reply_would_commit_a_record_that_is_lost(defect: str) -> None:
-    parts = Parts(KeepsItsIncarnation) if defect == "the life stays" else Parts()
+    parts = Parts(KeepsItsIncarnation) if defect == "the incarnation stays" else Parts()
     patched = any_voter if defect == "any reply counts" else quorum.valid_voters
     with patch.object(quorum, "valid_voters", patched):
-        world = a_voter_loses_its_memory_between_two_answers(parts)
+        world = a_voter_loses_its_state_between_two_acks(parts)
         assert (1, 2) in world.counted
         world.do(("claim", "y"))
         carry(world, "A", "B", "y")
@@ -296,7 +296,7 @@
     return world
 
 
-def a_voter_reads_others_on_its_way_back(parts: Parts) -> World:
+def a_voter_reads_others_in_its_recovery(parts: Parts) -> World:
     """A and C have x's record, and it counts. A loses its memory, reads B at once, and C is cut off then."""
     world = World(NO_TIME, parts).begin()
     act(world, ("claim", "x"), "A", "B", "C", "x")
@@ -316,8 +316,8 @@
     ("script", "defect", "last"),
     [
         (a_record_at_a_minority_is_taken_over, Parts(owner=DoesNotCommitTheBaseAnew), (3, 1)),
-        (a_voter_reads_others_on_its_way_back, Parts(RecoversFromOneVoter), (2, 1)),
-        (a_voter_reads_others_on_its_way_back, Parts(ForgetsRecordsOfItsRecovery), (2, 1)),
+        (a_voter_reads_others_in_its_recovery, Parts(RecoversFromOneVoter), (2, 1)),
+        (a_voter_reads_others_in_its_recovery, Parts(ForgetsRecordsOfItsRecovery), (2, 1)),
     ],
 )
 def test_a_defect_that_walks_seldom_reach_is_detected_by_a_script(
--- a/tests/leases/test_processes.py
+++ b/tests/leases/test_processes.py
@@ -1,8 +1,8 @@
 """Five processes of the program, three of them voters, with links that fail, stalls, kills and lost disks.
 
-What is checked is taken where the ledger's records are carried out: each broker's own word on which record it took, in
-its log, in order. No record is taken after a newer one, none differs between two brokers, none takes out more boxes
-than was asked, and no box goes twice.
+What is checked is taken where the ledger's records are applied: each broker logs which record it applied, in order. No
+record is applied after a newer one, none differs between two brokers, none drains more nodes than was commanded, and
+no node is drained twice.
 """
 
 from __future__ import annotations
@@ -38,31 +38,31 @@
     )
 
 
-class Owners(Brokers):
-    def owner_view(self, name: str) -> dict[str, Any]:
+class LeaseBrokers(Brokers):
+    def leases_view(self, name: str) -> dict[str, Any]:
         return query_admin(("127.0.0.1", self[name].admin), "/owner")
 
     def job(self, name: str) -> dict[str, Any]:
-        (row,) = self.owner_view(name)["jobs"]
+        (row,) = self.leases_view(name)["jobs"]
         return row  # type: ignore[no-any-return]
 
-    def story(self) -> dict[str, Any]:
+    def state_of_all(self) -> dict[str, Any]:
         return {
-            name: (self.job(name), self.owner_view(name)["voter"], self.drains(name))
+            name: (self.job(name), self.leases_view(name)["voter"], self.drains(name))
             for name in self.running()
         }
 
-    def owner(self) -> str:
+    def holder(self) -> str:
         """The one that all running ones name; empty while they do not agree."""
         named = {self.job(name)["owner"] for name in self.running()}
         found = named.pop() if len(named) == 1 else ""
         return found if found and found not in self.stopped and self.job(found)["here"] else ""
 
-    def wait_owner(self, but: str = "") -> str:
+    def wait_for_holder(self, but: str = "") -> str:
         found = [""]
 
         def there() -> bool:
-            found[0] = self.owner()
+            found[0] = self.holder()
             return found[0] not in ("", but)
 
         self.until(there)
@@ -72,25 +72,27 @@
         """One owner that every voter that runs granted its epoch: no claim of before can be granted any more. After two
         claimed at once, one voter may have promised the owner's epoch to the other; the owner then claims once more.
         """
-        owner = self.owner()
+        owner = self.holder()
         if not owner:
             return False
-        voters = {name: self.owner_view(name)["voter"] for name in self.running() if name in VOTERS}
+        voters = {
+            name: self.leases_view(name)["voter"] for name in self.running() if name in VOTERS
+        }
         promised = [each["promised"]["drains"] for each in voters.values()]
         claiming = [
             name for name in self.running() if name != owner and self.job(name)["phase"] != "idle"
         ]
         held = self.job(owner)
         granted = set(voters) <= set(held["granted_by"]) and max(promised) <= held["epoch"]
-        return granted and not claiming and self.owner() == owner
+        return granted and not claiming and self.holder() == owner
 
     def drains(self, name: str) -> dict[str, Any]:
-        return self.owner_view(name)["drains"] or {"status": "none", "steps": 0, "out": []}
+        return self.leases_view(name)["drains"] or {"status": "none", "steps": 0, "out": []}
 
-    def all_done(self) -> None:
+    def wait_all_done(self) -> None:
         self.until(lambda: all(self.drains(name)["status"] == "done" for name in self.running()))
 
-    def said(self, name: str, *words: str) -> subprocess.CompletedProcess[str]:
+    def run_drain(self, name: str, *words: str) -> subprocess.CompletedProcess[str]:
         return run("drain", f"127.0.0.1:{self[name].admin}", *words)
 
     def undo_drain(self, by: str) -> None:
@@ -99,7 +101,7 @@
         """
         status = self.drains(by)["status"]
         if status in ACTIVE:
-            said = self.said(by, "--undo")
+            said = self.run_drain(by, "--undo")
             ended = said.returncode == 1 and 'no drain runs: done"' in said.stderr
             assert said.returncode == 0 or (status != "stopped" and ended), (
                 status,
@@ -110,7 +112,7 @@
     def folder(self, name: str) -> Path:
         return self.fleet.folder / f"votes-{name}"
 
-    def history(self, at_most: int = 1, restarted: tuple[str, ...] = ()) -> list[Row]:
+    def applied_records(self, at_most: int = 1, restarted: tuple[str, ...] = ()) -> list[Row]:
         """All records that anybody carried out, in the ledger's order; a process that starts again begins anew."""
         seen: dict[tuple[int, int], Row] = {}
         for name in self.names:
@@ -129,23 +131,23 @@
         return [seen[version] for version in sorted(seen)]
 
 
-def check_steps(history: list[Row], boxes: list[str]) -> None:
+def check_one_node_a_step(applied_records: list[Row], boxes: list[str]) -> None:
     """From one record to the next one box goes or comes, each of them once, in order."""
     gone: list[str] = []
     before: tuple[str, ...] = ()
-    for _, _, out, _ in history:
+    for _, _, out, _ in applied_records:
         assert len(set(out) ^ set(before)) <= 1, (before, out)
         gone += [each for each in out if each not in before]
         before = out
     assert gone == boxes and not before
 
 
-def stamp(row: dict[str, Any]) -> float:
+def logged_at(row: dict[str, Any]) -> float:
     return datetime.fromisoformat(row["timestamp"]).timestamp()
 
 
 @pytest.fixture(scope="module")
-def running(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Owners]:
+def running(tmp_path_factory: pytest.TempPathFactory) -> Iterator[LeaseBrokers]:
     fleet = Fleet.plan(
         tmp_path_factory.mktemp("owners"), 5, 6, 300, cells=3, work_ms=0.5, with_peers=True
     )
@@ -161,13 +163,13 @@
             assert first.returncode == 0, first.stderr
             assert again.returncode == 2 and "is there" in again.stderr
         fleet.start(lambda text: None)
-        yield Owners(fleet, links)
+        yield LeaseBrokers(fleet, links)
     finally:
         fleet.stop()
 
 
 @pytest.fixture
-def brokers(running: Owners) -> Owners:
+def brokers(running: LeaseBrokers) -> LeaseBrokers:
     """All up, one owner, no drain."""
     running.links.heal()
     for name in list(running.stopped):
@@ -178,7 +180,7 @@
         else:
             running.start(name)
     running.agree()
-    running.wait_owner()
+    running.wait_for_holder()
     running.undo_drain("b0")
     running.until(
         lambda: (
@@ -192,75 +194,77 @@
     return running
 
 
-def zone_a(brokers: Owners) -> list[str]:
+def zone_a_nodes(brokers: LeaseBrokers) -> list[str]:
     return sorted(box.address for box in brokers.fleet.boxes if box.zone == "a")
 
 
-def test_all_brokers_know_one_holder_and_a_drain_takes_each_node_once(brokers: Owners) -> None:
-    client = next(name for name in ("b3", "b4") if name != brokers.wait_owner())
-    said = brokers.said(client, "--zone", "a", "--every", "300ms")
+def test_all_brokers_know_one_holder_and_a_drain_takes_each_node_once(
+    brokers: LeaseBrokers,
+) -> None:
+    client = next(name for name in ("b3", "b4") if name != brokers.wait_for_holder())
+    said = brokers.run_drain(client, "--zone", "a", "--every", "300ms")
     assert said.returncode == 0, said.stderr
-    brokers.all_done()
-    check_steps(brokers.history(), zone_a(brokers))
+    brokers.wait_all_done()
+    check_one_node_a_step(brokers.applied_records(), zone_a_nodes(brokers))
 
 
-def test_a_killed_holder_is_succeeded_and_the_drain_continues(brokers: Owners) -> None:
-    first = brokers.wait_owner()
+def test_a_killed_holder_is_succeeded_and_the_drain_continues(brokers: LeaseBrokers) -> None:
+    first = brokers.wait_for_holder()
     epoch = brokers.job(first)["epoch"]
-    assert brokers.said("b3", "--zone", "a", "--every", "400ms").returncode == 0
+    assert brokers.run_drain("b3", "--zone", "a", "--every", "400ms").returncode == 0
     brokers.until(lambda: brokers.drains("b4")["steps"] >= 2)
     brokers.end(first)
     since = time.monotonic()
-    second = brokers.wait_owner(but=first)
+    second = brokers.wait_for_holder(but=first)
     took = time.monotonic() - since
     assert took < 2.5 * LEASE + 1.0, took
     assert brokers.job(second)["epoch"] > epoch
-    brokers.all_done()
-    check_steps(brokers.history(restarted=(first,)), zone_a(brokers))
+    brokers.wait_all_done()
+    check_one_node_a_step(brokers.applied_records(restarted=(first,)), zone_a_nodes(brokers))
 
 
-def test_a_holder_that_resumes_after_two_successors_changes_nothing(brokers: Owners) -> None:
-    first = brokers.wait_owner()
+def test_a_holder_that_resumes_after_two_successors_changes_nothing(brokers: LeaseBrokers) -> None:
+    first = brokers.wait_for_holder()
     watching = next(name for name in ("b3", "b4") if name != first)
-    assert brokers.said(first, "--zone", "a", "--every", "400ms").returncode == 0
+    assert brokers.run_drain(first, "--zone", "a", "--every", "400ms").returncode == 0
     brokers.until(lambda: brokers.drains(watching)["steps"] >= 1)
     brokers.stop(first)
-    second = brokers.wait_owner(but=first)
+    second = brokers.wait_for_holder(but=first)
     assert query_admin(("127.0.0.1", brokers[second].admin), "/owner/yield?job=drains", "POST")[
         "yielded"
     ]
-    third = brokers.wait_owner(but=second)
+    third = brokers.wait_for_holder(but=second)
     epoch = brokers.job(third)["epoch"]
     brokers.go_on(first)
-    brokers.all_done()
+    brokers.wait_all_done()
     assert brokers.job(first)["epoch"] >= epoch
-    check_steps(brokers.history(), zone_a(brokers))
+    check_one_node_a_step(brokers.applied_records(), zone_a_nodes(brokers))
 
 
 @pytest.mark.measures_time
-def test_a_holder_that_stops_at_sigterm_hands_over_at_once(brokers: Owners) -> None:
-    first = brokers.wait_owner()
+def test_a_holder_that_stops_at_sigterm_hands_over_at_once(brokers: LeaseBrokers) -> None:
+    first = brokers.wait_for_holder()
     brokers.end(first, by=signal.SIGTERM)
-    second = brokers.wait_owner(but=first)
+    second = brokers.wait_for_holder(but=first)
     (lost,) = brokers.logged(first, b'"lease_lost"')
     owned = brokers.logged(second, b'"lease_acquired"')[0]
     assert lost["reason"] == "told to stop"
-    assert stamp(owned) - stamp(lost) < LEASE / 2
+    assert logged_at(owned) - logged_at(lost) < LEASE / 2
 
 
 @pytest.mark.parametrize("heard", [True, False])
 def test_a_holder_cut_off_in_one_direction_loses_the_lease_once(
-    brokers: Owners, heard: bool
+    brokers: LeaseBrokers, heard: bool
 ) -> None:
-    first = brokers.wait_owner()
+    first = brokers.wait_for_holder()
     others = [name for name in brokers.names if name != first]
     if heard:  # the others hear it, it hears nobody
         brokers.links.cut(others, [first])
     else:
         brokers.links.cut([first], others)
     brokers.stopped.add(first)  # it cannot agree with the others now
-    brokers.until(lambda: brokers.steady() and brokers.owner() != first)
-    second = brokers.wait_owner(but=first)
+    brokers.until(lambda: brokers.steady() and brokers.holder() != first)
+    second = brokers.wait_for_holder(but=first)
     epoch = brokers.job(second)["epoch"]
     brokers.until(lambda: not brokers.job(first)["here"])
     brokers.watch(4 * LEASE)  # it goes on trying, and does not make the job flap
@@ -270,30 +274,30 @@
     brokers.stopped.discard(first)
     brokers.links.heal()
     brokers.agree()
-    brokers.history()
+    brokers.applied_records()
 
 
 def test_a_holder_in_the_minority_partition_stops_and_the_majority_continues(
-    brokers: Owners,
+    brokers: LeaseBrokers,
 ) -> None:
-    first = brokers.wait_owner()
+    first = brokers.wait_for_holder()
     small = [first] if first in VOTERS else [first, "b0"]
     great = [name for name in brokers.names if name not in small]
-    assert brokers.said("b3", "--zone", "a", "--every", "300ms").returncode == 0
+    assert brokers.run_drain("b3", "--zone", "a", "--every", "300ms").returncode == 0
     brokers.links.part(small, great)
     brokers.stopped |= set(small)
-    brokers.wait_owner(but=first)
-    brokers.all_done()
+    brokers.wait_for_holder(but=first)
+    brokers.wait_all_done()
     brokers.stopped -= set(small)
     brokers.until(lambda: not brokers.job(first)["here"])
     brokers.links.heal()
     brokers.agree()
-    brokers.all_done()
-    check_steps(brokers.history(), zone_a(brokers))
+    brokers.wait_all_done()
+    check_one_node_a_step(brokers.applied_records(), zone_a_nodes(brokers))
 
 
 def test_without_a_majority_all_brokers_show_no_holder_until_one_voter_returns(
-    brokers: Owners,
+    brokers: LeaseBrokers,
 ) -> None:
     epoch = brokers.job("b4")["epoch"]
     brokers.end("b1", "b2")
@@ -301,26 +305,28 @@
     shown = run("owner", f"127.0.0.1:{brokers['b3'].admin}")
     assert shown.returncode == 1 and "NOBODY" in shown.stdout
     brokers.start("b1")
-    brokers.wait_owner()
+    brokers.wait_for_holder()
     assert brokers.job("b4")["epoch"] > epoch
 
 
 def test_all_voters_killed_at_once_keep_their_state_and_the_drain_continues(
-    brokers: Owners,
+    brokers: LeaseBrokers,
 ) -> None:
-    assert brokers.said("b3", "--zone", "a", "--every", "400ms").returncode == 0
+    assert brokers.run_drain("b3", "--zone", "a", "--every", "400ms").returncode == 0
     brokers.until(lambda: brokers.drains("b4")["steps"] >= 2)
     epoch = brokers.job("b4")["epoch"]
     brokers.end(*VOTERS)
     brokers.start(*VOTERS)
-    brokers.all_done()
+    brokers.wait_all_done()
     assert brokers.job("b4")["epoch"] >= epoch
-    check_steps(brokers.history(restarted=tuple(VOTERS)), zone_a(brokers))
+    check_one_node_a_step(brokers.applied_records(restarted=tuple(VOTERS)), zone_a_nodes(brokers))
 
 
 @pytest.mark.parametrize("trouble", ["empty", "flipped"])
-def test_a_voter_that_lost_its_state_recovers_and_votes(brokers: Owners, trouble: str) -> None:
-    life = brokers.owner_view("b1")["voter"]["life"]
+def test_a_voter_that_lost_its_state_recovers_and_votes(
+    brokers: LeaseBrokers, trouble: str
+) -> None:
+    life = brokers.leases_view("b1")["voter"]["life"]
     brokers.end("b1")
     if trouble == "empty":
         shutil.rmtree(brokers.folder("b1"))
@@ -335,45 +341,49 @@
     assert lost["reason"] == (
         "there is no state" if trouble == "empty" else "its checksum is wrong"
     )
-    brokers.until(lambda: bool(brokers.owner_view("b1")["voter"]["votes"]))
-    assert brokers.owner_view("b1")["voter"]["life"] == life + 1
-    brokers.wait_owner()
+    brokers.until(lambda: bool(brokers.leases_view("b1")["voter"]["votes"]))
+    assert brokers.leases_view("b1")["voter"]["life"] == life + 1
+    brokers.wait_for_holder()
     brokers.end("b0")  # now its vote is needed, also for the next owner
-    second = brokers.wait_owner(but="b0")
+    second = brokers.wait_for_holder(but="b0")
     assert query_admin(("127.0.0.1", brokers[second].admin), "/owner/yield?job=drains", "POST")[
         "yielded"
     ]
-    brokers.wait_owner(but=second)
+    brokers.wait_for_holder(but=second)
 
 
-def test_a_voter_whose_disk_fails_stops_voting_and_the_others_continue(brokers: Owners) -> None:
+def test_a_voter_whose_disk_fails_stops_voting_and_the_others_continue(
+    brokers: LeaseBrokers,
+) -> None:
     os.rename(brokers.folder("b2"), brokers.folder("aside"))
     try:
-        assert brokers.said("b3", "--zone", "a", "--every", "300ms").returncode == 0
-        brokers.until(lambda: "cannot be written" in brokers.owner_view("b2")["voter"]["broken"])
-        brokers.all_done()
+        assert brokers.run_drain("b3", "--zone", "a", "--every", "300ms").returncode == 0
+        brokers.until(lambda: "cannot be written" in brokers.leases_view("b2")["voter"]["broken"])
+        brokers.wait_all_done()
         shown = run("owner", f"127.0.0.1:{brokers['b2'].admin}")
         assert shown.returncode == 1 and "DOES NOT VOTE" in shown.stdout
         brokers.end("b2")
     finally:
         os.rename(brokers.folder("aside"), brokers.folder("b2"))
     brokers.start("b2")
-    brokers.until(lambda: bool(brokers.owner_view("b2")["voter"]["votes"]))
-    check_steps(brokers.history(restarted=("b2",)), zone_a(brokers))
+    brokers.until(lambda: bool(brokers.leases_view("b2")["voter"]["votes"]))
+    check_one_node_a_step(brokers.applied_records(restarted=("b2",)), zone_a_nodes(brokers))
 
 
-def test_a_drain_continues_through_a_rolling_restart_of_all_brokers(brokers: Owners) -> None:
-    assert brokers.said("b3", "--zone", "a", "--every", "500ms").returncode == 0
+def test_a_drain_continues_through_a_rolling_restart_of_all_brokers(brokers: LeaseBrokers) -> None:
+    assert brokers.run_drain("b3", "--zone", "a", "--every", "500ms").returncode == 0
     for name in brokers.names:
         brokers.end(name, by=signal.SIGTERM)
         brokers.start(name)
-        brokers.wait_owner()
-    brokers.all_done()
-    check_steps(brokers.history(restarted=tuple(brokers.names)), zone_a(brokers))
+        brokers.wait_for_holder()
+    brokers.wait_all_done()
+    check_one_node_a_step(
+        brokers.applied_records(restarted=tuple(brokers.names)), zone_a_nodes(brokers)
+    )
 
 
 def test_commands_that_cannot_be_taken_are_rejected_with_the_reason_and_change_nothing(
-    brokers: Owners,
+    brokers: LeaseBrokers,
 ) -> None:
     before = brokers.job("b3")["version"]
     gone = [box for box in brokers.fleet.boxes if box.zone == "b" and box.cell == 0]
@@ -381,13 +391,13 @@
         (["--zone", "nowhere"], "no box in zone nowhere"),
         (["--undo"], "no drain runs"),
     ):
-        said = brokers.said("b3", *words)
+        said = brokers.run_drain("b3", *words)
         assert said.returncode == 1 and reason in said.stderr, said.stderr
     for box in gone:
         box.listed = False
     brokers.fleet.write_list()
     try:
-        owner = brokers.wait_owner()
+        owner = brokers.wait_for_holder()
 
         def known() -> bool:  # to the owner
             return len(
@@ -395,7 +405,7 @@
             ) >= len(gone)
 
         brokers.until(known)
-        said = brokers.said("b3", "--zone", "a")
+        said = brokers.run_drain("b3", "--zone", "a")
         assert (
             said.returncode == 1 and "is the last box of cell 0: with force only" in said.stderr
         ), said.stderr
@@ -406,14 +416,16 @@
     assert brokers.job("b3")["version"] == before
 
 
-def test_a_drain_can_be_paused_resumed_and_undone(brokers: Owners) -> None:
-    assert brokers.said("b3", "--zone", "a", "--every", "30s", "--at-most", "2").returncode == 0
+def test_a_drain_can_be_paused_resumed_and_undone(brokers: LeaseBrokers) -> None:
+    assert (
+        brokers.run_drain("b3", "--zone", "a", "--every", "30s", "--at-most", "2").returncode == 0
+    )
     brokers.until(lambda: len(brokers.drains("b0")["out"]) == 1)
-    assert brokers.said("b1", "--stop").returncode == 0
-    second = brokers.said("b3", "--zone", "b")
+    assert brokers.run_drain("b1", "--stop").returncode == 0
+    second = brokers.run_drain("b3", "--zone", "b")
     assert second.returncode == 1 and "a drain of zone a is stopped" in second.stderr
-    assert brokers.said("b4", "--go-on").returncode == 0
-    assert brokers.said("b2", "--undo").returncode == 0
+    assert brokers.run_drain("b4", "--go-on").returncode == 0
+    assert brokers.run_drain("b2", "--undo").returncode == 0
     brokers.until(
         lambda: all(
             brokers.drains(name)["status"] == "undone" and not brokers.drains(name)["out"]
