--- a/bench/planted_defects/net.py
+++ b/bench/planted_defects/net.py
@@ -32,7 +32,7 @@
         original="self.run_due(self.new, self.clock() + NEW_SLICE)",
         replacement="self.run_due(self.new, self.clock() + 9)",
         tests=(
-            "tests/net/test_loop.py::test_what_was_begun_goes_before_what_is_new_and_new_work_is_bounded_in_a_turn",
+            "tests/net/test_loop.py::test_work_in_progress_runs_before_new_work_which_is_bounded_in_a_turn",
         ),
     ),
     PlantedDefect(
@@ -40,20 +40,20 @@
         original="(self.new if patient else self.due).append((task, task.ticket, None, None))",
         replacement="self.due.append((task, task.ticket, None, None))",
         tests=(
-            "tests/net/test_loop.py::test_what_was_begun_goes_before_what_is_new_and_new_work_is_bounded_in_a_turn",
+            "tests/net/test_loop.py::test_work_in_progress_runs_before_new_work_which_is_bounded_in_a_turn",
         ),
     ),
     PlantedDefect(
         path="stepknot/net/loop.py",
         original="if clock() >= until:",
         replacement="if False:",
-        tests=("tests/net/test_loop.py::test_much_work_at_once_does_not_hold_up_a_timer",),
+        tests=("tests/net/test_loop.py::test_many_due_tasks_do_not_delay_a_timer",),
     ),
     PlantedDefect(
         path="stepknot/net/listener.py",
         original="if error.errno in OUT_OF_RESOURCES:",
         replacement="if False:",
-        tests=("tests/net/test_loop.py::test_a_listener_that_runs_out_rests_and_goes_on",),
+        tests=("tests/net/test_loop.py::test_listener_without_descriptors_pauses_and_goes_on",),
     ),
     PlantedDefect(
         path="stepknot/net/http.py",
@@ -103,9 +103,7 @@
         path="stepknot/net/listener.py",
         original="except Exception as error:  # noqa: BLE001 - one connection's",
         replacement="except OSError as error:  #",
-        tests=(
-            "tests/net/test_loop.py::test_a_connection_that_comes_to_nothing_does_not_end_accepting",
-        ),
+        tests=("tests/net/test_loop.py::test_failed_connection_does_not_end_accepting",),
     ),
     PlantedDefect(
         path="stepknot/net/connection.py",
@@ -136,7 +134,7 @@
         original="            self.link.sock.shutdown(socket.SHUT_WR)\n",
         replacement="            self.link.close()\n",
         tests=(
-            "tests/net/test_server.py::test_the_last_answer_arrives_though_bytes_wait_unread_behind_its_request",
+            "tests/net/test_server.py::test_last_answer_arrives_though_bytes_are_unread_behind_its_request",
         ),
     ),
     PlantedDefect(
@@ -144,7 +142,7 @@
         original="if not data or self.is_half_closed:",
         replacement="if not data:",
         tests=(
-            "tests/net/test_server.py::test_a_request_that_crosses_the_half_close_is_not_taken_up",
+            "tests/net/test_server.py::test_request_that_crosses_the_half_close_is_not_accepted",
         ),
     ),
     PlantedDefect(
@@ -152,7 +150,7 @@
         original="self.server.loop.call_later(LINGER_TIMEOUT, self.link.close)",
         replacement="pass",
         tests=(
-            "tests/net/test_server.py::test_a_client_that_stays_after_the_end_is_let_go_after_a_while",
+            "tests/net/test_server.py::test_client_that_stays_after_the_half_close_is_closed_after_the_linger_timeout",
         ),
     ),
     PlantedDefect(
@@ -160,7 +158,7 @@
         original="if self.link.reader is None:",
         replacement="if False:",
         tests=(
-            "tests/net/test_server.py::test_what_waits_for_its_turn_to_be_read_is_not_cut_short",
+            "tests/net/test_server.py::test_received_bytes_that_wait_to_be_read_do_not_time_out",
         ),
     ),
     PlantedDefect(
@@ -168,23 +166,21 @@
         original="(len(self.unparsed) < READ_AHEAD_BYTES or self.server.one_at_a_time)",
         replacement="False",
         tests=(
-            "tests/net/test_server.py::test_a_client_that_sends_more_than_is_read_and_goes_is_seen_to_go",
+            "tests/net/test_server.py::test_disconnect_behind_more_bytes_than_are_read_ahead_is_noticed",
         ),
     ),
     PlantedDefect(
         path="stepknot/net/connection.py",
         original="(len(self.unparsed) < READ_AHEAD_BYTES or self.server.one_at_a_time)",
         replacement="True",
-        tests=(
-            "tests/net/test_server.py::test_what_is_read_ahead_is_bounded_and_served_in_its_turn",
-        ),
+        tests=("tests/net/test_server.py::test_read_ahead_is_bounded_and_served_in_order",),
     ),
     PlantedDefect(
         path="stepknot/net/server.py",
         original="        self.listener.accept_rest()\n",
         replacement="",
         tests=(
-            "tests/net/test_server.py::test_what_the_kernel_accepted_before_the_listener_closed_is_answered",
+            "tests/net/test_server.py::test_connections_that_the_kernel_accepted_before_the_close_are_answered",
         ),
     ),
     PlantedDefect(
@@ -192,21 +188,21 @@
         original="if arrived > self.server.closed_at + LATE_REQUEST_GRACE:",
         replacement="if False:",
         tests=(
-            "tests/net/test_server.py::test_a_request_that_is_whole_only_after_the_end_is_refused_and_not_taken_up",
+            "tests/net/test_server.py::test_request_that_is_complete_only_after_the_close_is_rejected",
         ),
     ),
     PlantedDefect(
         path="stepknot/net/server.py",
         original="if is_full and len(self.connections) >=",
         replacement="if is_full or len(self.connections) >=",
-        tests=("tests/net/test_server.py::test_who_finds_no_room_is_told_so",),
+        tests=("tests/net/test_server.py::test_connection_over_the_limit_gets_503",),
     ),
     PlantedDefect(
         path="stepknot/net/connection.py",
         original="            not self.in_progress\n",
         replacement="            not self.is_busy\n",
         tests=(
-            "tests/net/test_server.py::test_an_answer_that_is_being_written_is_written_whole_whatever_ends_meanwhile",
+            "tests/net/test_server.py::test_answer_being_written_is_completed_whatever_ends_meanwhile",
         ),
     ),
     PlantedDefect(
@@ -214,7 +210,7 @@
         original="if self.in_progress:",
         replacement="if self.is_busy:",
         tests=(
-            "tests/net/test_server.py::test_an_answer_that_is_being_written_is_written_whole_whatever_ends_meanwhile",
+            "tests/net/test_server.py::test_answer_being_written_is_completed_whatever_ends_meanwhile",
         ),
     ),
     PlantedDefect(
@@ -222,7 +218,7 @@
         original="(each.is_half_closed or not each.in_progress)",
         replacement="(each.is_half_closed or not each.is_busy)",
         tests=(
-            "tests/net/test_server.py::test_an_answer_that_is_being_written_is_written_whole_whatever_ends_meanwhile",
+            "tests/net/test_server.py::test_answer_being_written_is_completed_whatever_ends_meanwhile",
         ),
     ),
     PlantedDefect(
@@ -253,9 +249,7 @@
         path="stepknot/net/connection.py",
         original="if server.is_closed and self.last_answered:",
         replacement="if server.is_draining:",
-        tests=(
-            "tests/net/test_server.py::test_a_connection_that_comes_while_the_front_still_sends_is_waited_for",
-        ),
+        tests=("tests/net/test_server.py::test_new_connection_while_draining_is_served",),
     ),
     PlantedDefect(
         path="stepknot/net/connection.py",
@@ -283,8 +277,6 @@
         path="stepknot/net/datagrams.py",
         original="self.loop.call_later(NEXT_TURN, self._read)",
         replacement="pass",
-        tests=(
-            "tests/net/test_loop.py::test_datagrams_that_come_at_once_are_all_read_and_others_have_their_turn",
-        ),
+        tests=("tests/net/test_loop.py::test_burst_of_datagrams_is_read_in_batches",),
     ),
 ]
--- a/tests/net/test_loop.py
+++ b/tests/net/test_loop.py
@@ -46,7 +46,7 @@
     return Loop(clock, random.Random(1), Waiting(clock))
 
 
-def test_sleeps_run_in_the_order_of_their_ends_on_a_virtual_clock() -> None:
+def test_sleeps_end_in_the_order_of_their_times_on_a_virtual_clock() -> None:
     loop, seen = virtual(), []
 
     def sleeper(name: str, seconds: float) -> Coroutine:
@@ -61,7 +61,7 @@
     assert seen == [("a", 1.5), ("b", 90.0), ("c", 3600.0)]
 
 
-def test_a_signal_set_before_or_after_wakes_its_waiter_once() -> None:
+def test_future_set_before_or_after_the_wait_resumes_its_task_once() -> None:
     loop, got = virtual(), []
     early, late = Future(), Future()
     early.set(1)
@@ -78,7 +78,7 @@
     assert got == [1, 2]
 
 
-def test_much_work_at_once_does_not_hold_up_a_timer() -> None:
+def test_many_due_tasks_do_not_delay_a_timer() -> None:
     loop = Loop(rng=random.Random(1))
     lateness, done = [], []
 
@@ -98,7 +98,7 @@
     assert lateness[0] < 30 and len(done) == 60
 
 
-def test_what_was_begun_goes_before_what_is_new_and_new_work_is_bounded_in_a_turn() -> None:
+def test_work_in_progress_runs_before_new_work_which_is_bounded_in_a_turn() -> None:
     loop = virtual()
     clock = loop.clock
     assert isinstance(clock, Clock)
@@ -118,7 +118,7 @@
     assert order[3:] == ["new 2", "new 3"]
 
 
-def test_an_error_of_a_task_is_loud() -> None:
+def test_error_of_a_task_ends_the_loop() -> None:
     loop = virtual()
 
     def failing() -> Coroutine:
@@ -130,7 +130,7 @@
         loop.run()
 
 
-def test_what_was_written_arrives_whole_though_the_reader_is_slow() -> None:
+def test_written_data_arrives_completely_at_a_slow_reader() -> None:
     loop = Loop(rng=random.Random(1))
     one, two = socket.socketpair()
     for sock in (one, two):
@@ -153,7 +153,7 @@
     assert bytes(got) == data
 
 
-def test_a_read_that_takes_too_long_expires() -> None:
+def test_read_that_takes_too_long_times_out() -> None:
     loop = Loop(rng=random.Random(1))
     one, two = socket.socketpair()
     two.setblocking(False)
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize("code", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ECONNABORTED])
-def test_a_listener_that_runs_out_rests_and_goes_on(code: int) -> None:
+def test_listener_without_descriptors_pauses_and_goes_on(code: int) -> None:
     loop, accepted = Loop(rng=random.Random(1)), []
     real = loop.network.listen("127.0.0.1", 0)
     hurt = Exhausted(real, code, 3)
@@ -206,7 +206,7 @@
     client.close()
 
 
-def test_a_connection_that_comes_to_nothing_does_not_end_accepting() -> None:
+def test_failed_connection_does_not_end_accepting() -> None:
     """Whatever goes wrong with one: a peer that is gone already, or a mistake of our own, which is told."""
     told: list[str] = []
     accepted: list[object] = []
@@ -248,7 +248,7 @@
         ]
 
 
-def test_random_bytes_are_an_error_or_nothing_never_a_crash() -> None:
+def test_random_bytes_are_an_http_error_or_incomplete() -> None:
     rng = random.Random(3)
     for _ in range(2000):
         parser = ServerParser(HttpLimits(header=200, url=50, body=100))
@@ -261,7 +261,7 @@
             assert 400 <= error.status < 500
 
 
-def test_datagrams_that_come_at_once_are_all_read_and_others_have_their_turn() -> None:
+def test_burst_of_datagrams_is_read_in_batches() -> None:
     """Edges come once: what is left unread after a batch must not wait for the next datagram."""
     loop = Loop()
     got: list[bytes] = []
@@ -284,7 +284,7 @@
     outbox.close()
 
 
-def test_an_address_that_is_taken_is_told_and_leaves_no_descriptor() -> None:
+def test_address_in_use_raises_and_leaves_no_descriptor() -> None:
     loop = Loop()
     inbox = loop.datagrams("127.0.0.1", 0, lambda source, data: None)
     with pytest.raises(OSError):
--- a/tests/net/test_server.py
+++ b/tests/net/test_server.py
@@ -88,7 +88,7 @@
     found.loop.turn()
 
 
-def test_the_last_answer_arrives_though_bytes_wait_unread_behind_its_request(front: Front) -> None:
+def test_last_answer_arrives_though_bytes_are_unread_behind_its_request(front: Front) -> None:
     """A close over unread bytes resets the connection and takes along what the system still held back."""
     front.hold, front.body = Future(), b"x" * 3_000_000  # more than the sockets hold
     sock = front.client(ASK.replace(b"host", b"connection: close\r\nhost"))
@@ -102,7 +102,7 @@
     sock.close()
 
 
-def test_a_request_that_crosses_the_half_close_is_not_taken_up(front: Front) -> None:
+def test_request_that_crosses_the_half_close_is_not_accepted(front: Front) -> None:
     sock = front.client(ASK)
     front.until(lambda: front.taken and not any(each.is_busy for each in front.server.connections))
     (connection,) = front.server.connections
@@ -113,7 +113,9 @@
     front.until(lambda: not front.server.connections)
 
 
-def test_a_client_that_stays_after_the_end_is_let_go_after_a_while(front: Front) -> None:
+def test_client_that_stays_after_the_half_close_is_closed_after_the_linger_timeout(
+    front: Front,
+) -> None:
     sock = front.client(ASK)
     front.until(lambda: front.taken and not any(each.is_busy for each in front.server.connections))
     begun = time.monotonic()
@@ -123,7 +125,7 @@
     sock.close()
 
 
-def test_a_request_cut_short_gets_its_408_though_its_sender_goes_on(front: Front) -> None:
+def test_incomplete_request_gets_408_though_its_client_goes_on_sending(front: Front) -> None:
     sock = front.client(b"POST /x HTTP/1.1\r\nhost: h\r\ncontent-length: 60000\r\n\r\nhi")
     front.until(lambda: any(each.is_half_closed for each in front.server.connections))
     sock.sendall(b"x" * 10_000)
@@ -131,7 +133,7 @@
     sock.close()
 
 
-def test_what_waits_for_its_turn_to_be_read_is_not_cut_short(front: Front) -> None:
+def test_received_bytes_that_wait_to_be_read_do_not_time_out(front: Front) -> None:
     """After a stall, time-outs of requests fired before bytes that were there already had been read."""
     sock = front.client(ASK[:20])
     front.until(lambda: any(each.parser.started for each in front.server.connections))
@@ -149,7 +151,7 @@
     sock.close()
 
 
-def test_a_client_that_sends_more_than_is_read_and_goes_is_seen_to_go(front: Front) -> None:
+def test_disconnect_behind_more_bytes_than_are_read_ahead_is_noticed(front: Front) -> None:
     """Its end stood behind bytes that nobody read while its request was in work."""
     front.server.one_at_a_time, front.hold = True, Future()
     sock = front.client(ASK)
@@ -169,7 +171,7 @@
     front.until(lambda: not front.server.connections)
 
 
-def test_what_is_read_ahead_is_bounded_and_served_in_its_turn(front: Front) -> None:
+def test_read_ahead_is_bounded_and_served_in_order(front: Front) -> None:
     front.hold = Future()
     sock = front.client(ASK)
     front.until(lambda: front.taken)
@@ -184,7 +186,7 @@
     sock.close()
 
 
-def test_a_reset_behind_a_request_in_work_is_a_leave(front: Front) -> None:
+def test_reset_during_a_request_is_a_disconnect(front: Front) -> None:
     front.hold = Future()
     sock = front.client(ASK)
     front.until(lambda: front.taken)
@@ -193,7 +195,7 @@
     front.until(lambda: front.gone == 1)
 
 
-def test_what_the_kernel_accepted_before_the_listener_closed_is_answered(front: Front) -> None:
+def test_connections_that_the_kernel_accepted_before_the_close_are_answered(front: Front) -> None:
     """Closing a listener resets the connections that nobody had taken from it."""
     asked = [front.client(ASK) for _ in range(20)]
     silent = front.client()
@@ -210,7 +212,7 @@
         sock.close()
 
 
-def test_a_request_that_is_whole_only_after_the_end_is_refused_and_not_taken_up(
+def test_request_that_is_complete_only_after_the_close_is_rejected(
     front: Front,
 ) -> None:
     """It was taken, and its work went on past the time at which a broker is killed."""
@@ -223,7 +225,7 @@
     sock.close()
 
 
-def test_who_finds_no_room_is_told_so(front: Front) -> None:
+def test_connection_over_the_limit_gets_503(front: Front) -> None:
     """A connection closed without an answer leaves its request in the dark."""
     front.server.max_connections, front.hold = 16, Future()
     busy = [front.client(ASK) for _ in range(16)]
@@ -243,9 +245,7 @@
 @pytest.mark.parametrize(
     "how", ["the listener closes", "its time is over", "its descriptor is wanted"]
 )
-def test_an_answer_that_is_being_written_is_written_whole_whatever_ends_meanwhile(
-    front: Front, how: str
-) -> None:
+def test_answer_being_written_is_completed_whatever_ends_meanwhile(front: Front, how: str) -> None:
     """Its request was no longer in work, so that the connection was taken for an idle one and cut off."""
     front.body = b"x" * 12_000_000  # more than the sockets hold
     sock = front.client(ASK)
@@ -273,7 +273,7 @@
     sock.close()
 
 
-def test_a_connection_that_comes_while_the_front_still_sends_is_waited_for(front: Front) -> None:
+def test_new_connection_while_draining_is_served(front: Front) -> None:
     front.server.is_draining = True
     sock = front.client()
     front.until(
