--- a/bench/planted_defects/admission.py
+++ b/bench/planted_defects/admission.py
@@ -71,7 +71,7 @@
     ),
     PlantedDefect(
         path="stepknot/admission/query_slots.py",
-        original="if self.by_address[slot.address] >= min(settings.queries * factor, free):",
+        original="if self.by_address.get(slot.address, 0) >= min(settings.queries * factor, free):",
         replacement="if False:",
         tests=(
             f"{CONTROLLER}::test_one_address_gets_half_of_the_query_slots_and_others_still_get_theirs",
--- a/stepknot/admission/connection_slots.py
+++ b/stepknot/admission/connection_slots.py
@@ -29,7 +29,7 @@
         self.by_prefix: Counter[PrefixKey] = Counter()
         self.by_key: Counter[str] = Counter()
         self.by_trust: Counter[TrustLevel] = Counter()
-        # Of each address the idle connections, the one that is idle for longest first.
+        # Of each address with slots the idle connections, the one that is idle for longest first.
         self.idle: dict[Address, OrderedDict[int, TrackedConnection]] = {}
 
     @property
@@ -88,6 +88,8 @@
         """Take the connection's slot back."""
         self._count(connection, -1)
         self.mark_busy(connection)
+        if not self.by_address[connection.address]:
+            self.idle.pop(connection.address, None)
 
     def _count(self, connection: TrackedConnection, change: int) -> None:
         self.by_address.adjust(connection.address, change)
@@ -112,11 +114,8 @@
     def mark_busy(self, connection: TrackedConnection) -> None:
         """A request has begun to arrive, or is in flight: the connection is not evicted."""
         idle = self.idle.get(connection.address)
-        if idle is None:
-            return
-        idle.pop(connection.number, None)
-        if not idle:
-            del self.idle[connection.address]
+        if idle is not None:
+            idle.pop(connection.number, None)
 
     def find_evictable(self, newcomer: TrackedConnection) -> TrackedConnection | None:
         """The idle connection that a newcomer may displace.
@@ -128,7 +127,7 @@
             if rank >= MAX_EVICTION_CANDIDATES:
                 return None
             idle = self.idle.get(Address(address))
-            if idle is None:
+            if not idle:
                 continue
             longest_idle = next(iter(idle.values()))
             has_lead = self.by_address[address] >= own + MIN_EVICTION_LEAD
--- a/stepknot/admission/query_slots.py
+++ b/stepknot/admission/query_slots.py
@@ -21,8 +21,8 @@
     def __init__(self, settings: AdmissionSettings) -> None:
         self.settings = settings
         self.by_trust: Counter[TrustLevel] = Counter()
-        self.by_address: Counter[Address] = Counter()
-        self.by_tenant: Counter[str] = Counter()
+        self.by_address: dict[Address, int] = {}
+        self.by_tenant: dict[str, int] = {}
 
     @property
     def taken(self) -> int:
@@ -44,9 +44,9 @@
         free = self._free(slot.trust, level)
         if free < 1:
             return RejectReason.ALL_QUERIES
-        if self.by_address[slot.address] >= min(settings.queries * factor, free):
+        if self.by_address.get(slot.address, 0) >= min(settings.queries * factor, free):
             return RejectReason.ADDRESS_QUERIES
-        if slot.tenant and self.by_tenant[slot.tenant] >= self._tenant_limit(tenant_quota):
+        if slot.tenant and self.by_tenant.get(slot.tenant, 0) >= self._tenant_limit(tenant_quota):
             return RejectReason.TENANT_QUERIES
         return None
 
@@ -69,9 +69,9 @@
     def take(self, slot: QuerySlot) -> None:
         """A query begins."""
         self.by_trust[slot.trust] += 1
-        self.by_address[slot.address] += 1
+        self.by_address[slot.address] = self.by_address.get(slot.address, 0) + 1
         if slot.tenant:
-            self.by_tenant[slot.tenant] += 1
+            self.by_tenant[slot.tenant] = self.by_tenant.get(slot.tenant, 0) + 1
 
     def release(self, slot: QuerySlot) -> None:
         """A query has ended."""
