--- a/bench/planted_defects/decisions.py
+++ b/bench/planted_defects/decisions.py
@@ -123,7 +123,9 @@
         path="stepknot/decisions/retries.py",
         original="return kind.effect is Effect.KEYED and self._turn.now < window_end",
         replacement="return kind.effect is Effect.KEYED",
-        tests=("tests/decisions/test_rules.py",),
+        tests=(
+            "tests/decisions/test_retries.py::test_keyed_part_is_retried_within_its_repeat_window_only",
+        ),
         invariant="2",
     ),
     PlantedDefect(
@@ -199,7 +201,9 @@
         path="stepknot/decisions/load_shedding.py",
         original="dispatcher.withdraw(attempt)",
         replacement="pass",
-        tests=("tests/decisions/test_rules.py",),
+        tests=(
+            "tests/decisions/test_load_shedding.py::test_query_that_is_rejected_for_one_shard_leaves_nothing_out_at_another",
+        ),
     ),
     PlantedDefect(
         path="stepknot/decisions/aggregator.py",
--- a/tests/decisions/test_answers.py
+++ b/tests/decisions/test_answers.py
@@ -33,14 +33,17 @@
     assert acts == [Answer(query, False), Cancel(second, 0)]
 
 
-def test_answer_is_partial_under_need_and_complete_over_it() -> None:
+@pytest.mark.parametrize(("served", "is_complete"), [(0.5, False), (0.69, False), (0.7, True)])
+def test_answer_is_partial_under_need_and_complete_over_it(
+    served: float, is_complete: bool
+) -> None:
     driver = Driver()
-    query = driver.query("need", [0, 1], [0.7, 0.3])
+    query = driver.query("need", [0, 1], [served, 1 - served])
     first, second = driver.parts[query]
     driver.end(first)
     for number in range(3):
         driver.end(second, Outcome.ERROR, attempt=number)
-    assert driver.finals[query] == Answer(query, True)
+    assert driver.finals[query] == Answer(query, is_complete)
 
 
 def test_second_step_follows_a_first_answer_and_needs_all_parts() -> None:
--- a/tests/decisions/test_load_shedding.py
+++ b/tests/decisions/test_load_shedding.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from stepknot.interface import SetTimer, TimerDue
+from stepknot.interface import Refuse, SetTimer, TimerDue
 from tests.decisions.steps import probe_reply, probing_driver, run_queries
-from tests.helpers import Driver
+from tests.helpers import FLEET, Driver
 
 pytestmark = pytest.mark.cpu_only
 
@@ -38,3 +38,10 @@
         driver.at(timer.at)
         driver.handle(TimerDue(timer.token))
     assert len(driver.sends()) == 1 and query not in driver.finals
+
+
+def test_query_that_is_rejected_for_one_shard_leaves_nothing_out_at_another() -> None:
+    driver = Driver(fleet=FLEET[:3])  # none of them holds shard 1
+    query = driver.query("all", [0, 1])
+    assert isinstance(driver.finals[query], Refuse) and not driver.sends()
+    assert [len(each.calls) for each in driver.aggregator.capsules.values()] == [0, 0, 0]
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -47,3 +47,15 @@
         query = driver.query("all", [0])
         driver.end(next(iter(driver.parts[query])), Outcome.ERROR)
     assert len(driver.extras) == 4
+
+
+@pytest.mark.parametrize(("failed_after", "retries"), [(0.3, 1), (0.6, 0)])
+def test_keyed_part_is_retried_within_its_repeat_window_only(
+    failed_after: float, retries: int
+) -> None:
+    driver = Driver()
+    query = driver.query("keyed", [0])
+    (part,) = driver.parts[query]
+    driver.at(driver.now + failed_after)
+    driver.end(part, Outcome.ERROR, failed_after)
+    assert len(driver.sends()) == retries
