--- a/tests/membership/test_peers_view.py
+++ b/tests/membership/test_peers_view.py
@@ -18,12 +18,12 @@
 
     view = msgspec.to_builtins(peers_view(protocol, 0.3))
 
-    assert list(view) == (
+    assert " ".join(view) == (
         "name fleet version digest joined isolated isolated_why stepped_aside stood_still live suspect "
         "at_least at_most sure counters not_taken members"
     )
     own, other = view["members"]
-    assert list(own) == (
+    assert " ".join(own) == (
         "name state address epoch incarnation self since why watched heard sign sign_by hears_me "
         "reachable reaches_me_by_report"
     )
