--- a/stepknot/broker/attempt_tracker.py
+++ b/stepknot/broker/attempt_tracker.py
@@ -4,7 +4,7 @@
 
 import math
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from functools import partial
 
 from stepknot import interface as api
@@ -48,9 +48,12 @@
     def __len__(self) -> int:
         return len(self.in_flight)
 
-    def is_in_flight(self, attempt: Attempt) -> bool:
-        """Whether this attempt did not end yet."""
-        return self.in_flight.get((attempt.part.part_id, attempt.number)) is attempt
+    def still_in_flight(self, attempts: list[Attempt]) -> list[Attempt]:
+        """Those of the attempts that did not end yet."""
+        in_flight = self.in_flight
+        return [
+            each for each in attempts if in_flight.get((each.part.part_id, each.number)) is each
+        ]
 
     def start(self, query: Query, part: QueryPart, action: api.Send) -> Attempt:
         """Make the attempt that the decision module asks for; the caller hands it to the transport."""
@@ -75,17 +78,16 @@
             self.counts["extra_attempts"] += 1
         self.in_flight[part.part_id, attempt.number] = attempt
         if action.timeout < math.inf:
-            self._expire_at(now + action.timeout, attempt)
+            # Attempts whose waits end at the same time share a loop timer.
+            at = now + action.timeout
+            sharing = self.expiries.get(at)
+            if sharing is None:
+                sharing = []
+                self.expiries[at] = sharing
+                self.loop.call_at(at, partial(self._on_expiry, sharing, at))
+            sharing.append(attempt)
         return attempt
 
-    def _expire_at(self, at: float, attempt: Attempt) -> None:
-        """Attempts whose waits end at the same time share a loop timer."""
-        sharing = self.expiries.get(at)
-        if sharing is None:
-            sharing = self.expiries[at] = []
-            self.loop.call_at(at, partial(self._on_expiry, sharing, at))
-        sharing.append(attempt)
-
     def _on_expiry(self, attempts: list[Attempt], at: float) -> None:
         self.expiries.pop(at, None)
         for attempt in attempts:
@@ -110,12 +112,16 @@
         if attempt is not None:
             self.end(attempt, api.Outcome.CANCELLED, {})
 
-    def drop_unsent(self, part: QueryPart) -> None:
-        """End those of a finished query's part of which no byte was sent, also where cancelling is not allowed."""
-        for number in range(part.attempts):
-            attempt = self.in_flight.get((part.part_id, number))
-            if attempt is not None and self.transport.is_unsent(attempt):
-                self.end(attempt, api.Outcome.NOT_SENT, {})
+    def drop_unsent(self, parts: Iterable[QueryPart]) -> None:
+        """End those attempts of a finished query's parts of which no byte was sent.
+
+        Nothing begins any more for a finished query, also where cancelling is not allowed.
+        """
+        for part in parts:
+            for number in range(part.attempts):
+                attempt = self.in_flight.get((part.part_id, number))
+                if attempt is not None and self.transport.is_unsent(attempt):
+                    self.end(attempt, api.Outcome.NOT_SENT, {})
 
     def end(self, attempt: Attempt, outcome: api.Outcome, load: Load) -> None:
         """The one end of an attempt; later calls for the same attempt do nothing."""
--- a/stepknot/broker/core.py
+++ b/stepknot/broker/core.py
@@ -258,8 +258,8 @@
         """One call or more to each node; attempts that this same turn cancelled stay here."""
         outgoing, self.outgoing = self.outgoing, {}
         for server, attempts in outgoing.items():
-            in_flight = [each for each in attempts if self.attempts.is_in_flight(each)]
-            self.counts["calls"] += self.transport.send(server, in_flight)
+            to_send = self.attempts.still_in_flight(attempts)
+            self.counts["calls"] += self.transport.send(server, to_send)
 
     def _probe(self, server: str) -> None:
         """Ask a node for its load report."""
@@ -305,9 +305,10 @@
     def _finish(self, query: Query, result: QueryResult | None) -> None:
         """The one end of a query; None where its client disconnected."""
         del self.queries[query.query_id]
-        for part in (*query.parts, *query.second_parts):
+        parts = (*query.parts, *query.second_parts)
+        for part in parts:
             self.parts.pop(part.part_id, None)
-            self.attempts.drop_unsent(part)
+        self.attempts.drop_unsent(parts)
         self._record_end(query, result)
         query.done.set(result)
 
