--- a/stepknot/config/settings.py
+++ b/stepknot/config/settings.py
@@ -1,4 +1,4 @@
-"""What a broker is told: typed settings, and how an HCL file becomes them.
+"""A broker's settings, and how an HCL file becomes them.
 
 A table for each block says which keys it has, how each is read and what it is when absent. What is unknown,
 missing, twice or out of range is a `Problem` with its line; all of them are told at once.
@@ -15,9 +15,10 @@
 from stepknot.admission.model import AdmissionSettings
 from stepknot.config.admission import read_admission
 from stepknot.config.graphql import GraphReader, GraphSettings
-from stepknot.config.hcl import Block, ConfigError, Value, parse
+from stepknot.config.hcl import Block, ConfigError, parse
 from stepknot.config.leases import LeaseConfig, read_ownership
 from stepknot.config.membership import Peers, read_peers
+from stepknot.config.query_classes import read_classes
 from stepknot.config.readers import (
     Checker,
     Key,
@@ -28,7 +29,6 @@
     number,
     one_of,
     size,
-    some_of,
     text,
     tiers,
 )
@@ -39,8 +39,6 @@
 if TYPE_CHECKING:
     from stepknot.subsets.model import SubsetSettings
 
-OPERATIONS = ("search", "count", "get", "mget", "index", "create", "update", "delete", "bulk")
-MORE_OPERATIONS = {"entities": "mget"}  # those that go by another's class where none names them
 FIELD_TYPES = (
     "text",
     "keyword",
@@ -125,19 +123,6 @@
     "bulk": Key(count(), 10_000),
     "searches": Key(count(), 200),
 }
-CLASS = {
-    "aim": Key(duration),
-    "deadline": Key(duration),
-    "worth": Key(number(), 1.0),
-    "late_value": Key(number(0, 1), 0.0),
-    "effect": Key(one_of("safe", "keyed", "unsafe"), "safe"),
-    "repeat_window": Key(duration, 0.0),
-    "need": Key(number(0, 1), 1.0),
-    "floor": Key(number(0, 1), 1.0),
-    "partial_value": Key(number(0, 1), 0.0),
-    "steps": Key(count(1, 2), 1),
-    "operations": Key(some_of(*OPERATIONS, *MORE_OPERATIONS), ()),
-}
 INDEX = {"shards": Key(count(1, 1024)), "routing_shards": Key(count(1, 65536), 0)}
 ZONES = {
     "enabled": Key(flag, True),
@@ -192,15 +177,11 @@
     held: int
     bulk: int
     searches: int
-    admin: tuple[str, int] | None = (
-        None  # where operators' commands reach the broker; none: nowhere
-    )
-    zones: ZoneSettings | None = (
-        None  # its bounds are derived once the list says how many zones there are
-    )
-    tenants: dict[str, float] = field(
-        default_factory=dict
-    )  # share of the traffic that each was promised
+    admin: tuple[str, int] | None = None  # where operators' commands reach the broker
+    # Its bounds are derived once the list says how many zones there are.
+    zones: ZoneSettings | None = None
+    # The share of the traffic that each tenant was promised.
+    tenants: dict[str, float] = field(default_factory=dict)
     admission: AdmissionSettings | None = None  # none: every connection is taken
     peers: Peers | None = None  # none: this broker knows of no other
     owners: LeaseConfig | None = None  # none: no job of the fleet is taken here, and no ledger read
@@ -209,26 +190,19 @@
 
 
 def load(path: Path) -> Config:
-    """Raises ConfigError; OSError where the file cannot be read."""
+    """The settings of a file.
+
+    Raises:
+        ConfigError: All that is wrong with them.
+        OSError: The file cannot be read.
+    """
     return build(parse(path.read_text(), str(path)), str(path), path.parent)
 
 
 def build(top: Block, file: str, folder: Path) -> Config:
+    """The settings of a parsed file; paths in it are relative to `folder`. Raises `ConfigError`."""
     checker = Checker(file)
-    single: dict[str, Block] = {}
-    named: dict[str, list[Block]] = {"class": [], "index": [], "tenant": []}
-    for block in top.blocks:
-        if block.kind in named and len(block.labels) == 1:
-            named[block.kind].append(block)
-        elif block.kind in SINGLE and not block.labels:
-            if block.kind in single:
-                checker.wrong(block.line, block.kind, "given twice")
-            single[block.kind] = block
-        else:
-            known = f'{", ".join(SINGLE)}, class "NAME", index "NAME", tenant "NAME"'
-            checker.wrong(
-                block.line, " ".join([block.kind, *block.labels]), f"unknown block; known: {known}"
-            )
+    single, named = _sort_blocks(checker, top)
     plain = checker.read(top, TOP, "")
     fleet = checker.read(single.get("fleet"), FLEET, "fleet.")
     rules = checker.read(single.get("rules"), RULES, "rules.")
@@ -298,6 +272,25 @@
     )
 
 
+def _sort_blocks(checker: Checker, top: Block) -> tuple[dict[str, Block], dict[str, list[Block]]]:
+    """Blocks without a name by their kind, and those that have one in their order."""
+    single: dict[str, Block] = {}
+    named: dict[str, list[Block]] = {"class": [], "index": [], "tenant": []}
+    for block in top.blocks:
+        if block.kind in named and len(block.labels) == 1:
+            named[block.kind].append(block)
+        elif block.kind in SINGLE and not block.labels:
+            if block.kind in single:
+                checker.wrong(block.line, block.kind, "given twice")
+            single[block.kind] = block
+        else:
+            known = f'{", ".join(SINGLE)}, class "NAME", index "NAME", tenant "NAME"'
+            checker.wrong(
+                block.line, " ".join([block.kind, *block.labels]), f"unknown block; known: {known}"
+            )
+    return single, named
+
+
 def zone_settings(own: str, got: dict[str, Any]) -> ZoneSettings | None:
     """None where they are switched off."""
     if not got.pop("enabled"):
@@ -306,69 +299,8 @@
     return ZoneSettings(own, tiers_, FailoverSettings(**got), prefer)
 
 
-def read_classes(
-    checker: Checker, blocks: list[Block]
-) -> tuple[dict[str, api.QueryClass], dict[str, str]]:
-    classes: dict[str, api.QueryClass] = {}
-    operations: dict[str, str] = {}
-    for block in blocks:
-        name, where = block.labels[0], f"class.{block.labels[0]}."
-        got = checker.read(block, CLASS, where)
-        if name in classes:
-            checker.wrong(block.line, f"class.{name}", "given twice")
-        for operation in got["operations"] or ():
-            if operations.setdefault(operation, name) != name:
-                line = block.values["operations"].line
-                checker.wrong(
-                    line,
-                    where + "operations",
-                    f"{operation} is already class {operations[operation]}'s",
-                )
-        if None in got.values():
-            continue
-        for key, low, high in (
-            ("floor", got["floor"], got["need"]),
-            ("aim", got["aim"], got["deadline"]),
-        ):
-            if low > high:
-                other = "need" if key == "floor" else "deadline"
-                line = block.values.get(key, Value(block.line, 0)).line
-                checker.wrong(line, where + key, f"expected {other} ({high:g}) or less")
-        if got["effect"] == "keyed" and not got["repeat_window"]:
-            checker.wrong(block.line, where + "repeat_window", "missing: a keyed class has one")
-        if got["effect"] != "safe" and got["steps"] == 2:
-            checker.wrong(
-                block.line, where + "steps", "expected 1: what has an effect has one step"
-            )
-        classes[name] = api.QueryClass(
-            name=name,
-            aim=got["aim"],
-            deadline=got["deadline"],
-            worth=got["worth"],
-            late_value=got["late_value"],
-            effect=api.Effect(got["effect"]),
-            repeat_window=got["repeat_window"],
-            need=got["need"],
-            floor=got["floor"],
-            partial_value=got["partial_value"],
-            second_step_parts=got["steps"] - 1,
-        )
-    for operation in OPERATIONS:
-        if operation not in operations:
-            checker.wrong(1, "class", f"missing: a class with {operation} among its operations")
-    for operation, other in MORE_OPERATIONS.items():
-        if other in operations:
-            operations.setdefault(operation, operations[other])
-    for operation in ("index", "create", "update", "delete", "bulk"):
-        kind = classes.get(operations.get(operation, ""))
-        if kind is not None and kind.effect is api.Effect.SAFE:
-            checker.wrong(
-                1, f"class.{kind.name}.effect", f"expected keyed or unsafe: {operation} writes"
-            )
-    return classes, operations
-
-
 def read_indices(checker: Checker, blocks: list[Block]) -> dict[str, Index]:
+    """The `index` blocks by name, one after the other in the fleet's shards."""
     indices: dict[str, Index] = {}
     first = 0
     for block in blocks:
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -24,7 +24,6 @@
 # a module that came under the bound leaves it.
 OVERSIZED = {
     "stepknot/config/graphql.py": 597,
-    "stepknot/config/settings.py": 408,
     "stepknot/frontends/graphql/app.py": 436,
     "stepknot/frontends/graphql/plan.py": 884,
     "stepknot/frontends/graphql/run.py": 521,
