--- a/tests/platform/test_nodes.py
+++ b/tests/platform/test_nodes.py
@@ -402,7 +402,7 @@
                     core.attempts,
                     core.attempts.expiries,
                     module.queries,
-                    module.fresh,
+                    module.answers.unplaced,
                     module.attempts,
                     service.open_names,
                 )
