--- a/bench/trace_packages/subsets.py
+++ b/bench/trace_packages/subsets.py
@@ -12,7 +12,7 @@
 
 from bench.trace_packages.trace import Trace
 from stepknot.broker.subset_driver import SubsetDriver
-from stepknot.config.hcl import ConfigError
+from stepknot.config.errors import ConfigError
 from stepknot.discovery.drained_endpoints import DrainedEndpoints
 from stepknot.discovery.endpoint_file import diff_endpoint_lists, read_endpoint_list
 from stepknot.interface import (
--- a/stepknot/cli/broker_commands.py
+++ b/stepknot/cli/broker_commands.py
@@ -21,7 +21,7 @@
     print_problems,
     read_config,
 )
-from stepknot.config.hcl import ConfigError
+from stepknot.config.errors import ConfigError
 from stepknot.config.settings import Config, load
 
 
--- a/stepknot/cli/options.py
+++ b/stepknot/cli/options.py
@@ -8,8 +8,8 @@
 
 import click
 
-from stepknot.config.hcl import ConfigError
-from stepknot.config.readers import Bad, address, duration
+from stepknot.config.errors import ConfigError, SettingError
+from stepknot.config.readers import address, duration
 from stepknot.config.settings import Config, load
 
 EXIT_UNHEALTHY = 1  # what was checked or audited is not well
@@ -28,7 +28,7 @@
         """Read an address; a default is one already."""
         try:
             return address(value) if isinstance(value, str) else value
-        except Bad as error:
+        except SettingError as error:
             self.fail(str(error), param, ctx)
 
 
@@ -41,7 +41,7 @@
         """Read a duration into seconds."""
         try:
             return duration(value)
-        except Bad as error:
+        except SettingError as error:
             self.fail(str(error), param, ctx)
 
 
--- a/stepknot/cli/trial_commands.py
+++ b/stepknot/cli/trial_commands.py
@@ -20,7 +20,7 @@
     read_config,
     seed_option,
 )
-from stepknot.config.hcl import ConfigError
+from stepknot.config.errors import ConfigError
 
 BROKERS = click.option("--brokers", type=int, default=2, show_default=True)
 NODES = click.option(
--- a/stepknot/config/admission.py
+++ b/stepknot/config/admission.py
@@ -8,8 +8,9 @@
 
 from stepknot.admission.addresses import parse_network
 from stepknot.admission.model import AdmissionSettings
+from stepknot.config.errors import SettingError
 from stepknot.config.hcl import Block
-from stepknot.config.readers import Bad, Checker, Key, count, duration, flag, number, size, text
+from stepknot.config.readers import Checker, Key, count, duration, flag, number, size, text
 
 DEFAULT = AdmissionSettings()
 
@@ -18,15 +19,15 @@
     """A list of networks.
 
     Raises:
-        Bad: It is no list, or an entry is no network.
+        SettingError: It is no list, or an entry is no network.
     """
     if not isinstance(value, list):
-        raise Bad('expected a list of networks, such as ["10.0.0.0/8", "fd00::/8"]')
+        raise SettingError('expected a list of networks, such as ["10.0.0.0/8", "fd00::/8"]')
     for network in value:
         try:
             parse_network(str(network))
         except ValueError as error:
-            raise Bad(f"expected networks such as 10.0.0.0/8: {error}") from None
+            raise SettingError(f"expected networks such as 10.0.0.0/8: {error}") from None
     return tuple(map(str, value))
 
 
@@ -34,10 +35,10 @@
     """The SHA-256 of an API key.
 
     Raises:
-        Bad: It is not 64 hexadecimal digits in lower case.
+        SettingError: It is not 64 hexadecimal digits in lower case.
     """
     if not isinstance(value, str) or not re.fullmatch(r"[0-9a-f]{64}", value):
-        raise Bad(
+        raise SettingError(
             "expected the SHA-256 of the key, 64 hexadecimal digits in lower case; never the key itself"
         )
     return value
--- a/stepknot/config/graphql.py
+++ b/stepknot/config/graphql.py
@@ -12,9 +12,9 @@
 from pathlib import Path
 from typing import Any
 
+from stepknot.config.errors import SettingError
 from stepknot.config.hcl import Block
 from stepknot.config.readers import (
-    Bad,
     Checker,
     Key,
     address,
@@ -223,7 +223,7 @@
 
     def name(value: Any) -> str:
         if not isinstance(value, str) or not FIELD_NAME.fullmatch(value):
-            raise Bad(
+            raise SettingError(
                 "expected a GraphQL name: letters, digits and _, not beginning with __ or a digit"
             )
         return value
@@ -232,12 +232,12 @@
         if not isinstance(value, list) or not all(
             isinstance(each, str) and each.strip() for each in value
         ):
-            raise Bad("expected a list of strings")
+            raise SettingError("expected a list of strings")
         return tuple(value)
 
     def pairs(value: Any) -> dict[str, str]:
         if not isinstance(value, dict) or not all(isinstance(each, str) for each in value.values()):
-            raise Bad('expected an object of strings, such as { name = "club" }')
+            raise SettingError('expected an object of strings, such as { name = "club" }')
         return {str(key): each for key, each in value.items()}
 
     limits = GraphLimits()
--- a/stepknot/config/hcl.py
+++ b/stepknot/config/hcl.py
@@ -9,27 +9,7 @@
 from lark import Token, Tree
 from lark.exceptions import UnexpectedInput
 
-
-@dataclass(frozen=True, slots=True)
-class Problem:
-    """One thing wrong in a settings file."""
-
-    file: str
-    line: int
-    key: str
-    expected: str
-
-    def __str__(self) -> str:
-        where = f"{self.file}:{self.line}" if self.line else self.file
-        return f"{where}: {self.key}: {self.expected}" if self.key else f"{where}: {self.expected}"
-
-
-class ConfigError(Exception):
-    """All problems of a settings file."""
-
-    def __init__(self, problems: list[Problem]) -> None:
-        super().__init__("\n".join(map(str, problems)))
-        self.problems = problems
+from stepknot.config.errors import ConfigError, Problem
 
 
 @dataclass(slots=True)
--- a/stepknot/config/leases.py
+++ b/stepknot/config/leases.py
@@ -6,9 +6,10 @@
 from pathlib import Path
 from typing import Any
 
+from stepknot.config.errors import SettingError
 from stepknot.config.hcl import Block
 from stepknot.config.membership import Peers, name
-from stepknot.config.readers import Bad, Checker, Key, duration, flag, number, text
+from stepknot.config.readers import Checker, Key, duration, flag, number, text
 from stepknot.leases.settings import LeaseSettings
 
 VOTER_COUNTS = (3, 5, 7)
@@ -20,15 +21,15 @@
     """Read the names of the voters.
 
     Raises:
-        Bad: They are not a list of 3, 5 or 7 different names.
+        SettingError: They are not a list of 3, 5 or 7 different names.
     """
     if not isinstance(value, list):
-        raise Bad('expected a list of names such as ["b0", "b1", "b2"]')
+        raise SettingError('expected a list of names such as ["b0", "b1", "b2"]')
     found = tuple(map(name, value))
     if len(set(found)) != len(found):
-        raise Bad("expected each voter once")
+        raise SettingError("expected each voter once")
     if len(found) not in VOTER_COUNTS:
-        raise Bad(
+        raise SettingError(
             "expected 3, 5 or 7 voters: with an even number one more is needed and none more may be lost"
         )
     return found
--- a/stepknot/config/membership.py
+++ b/stepknot/config/membership.py
@@ -5,8 +5,9 @@
 from dataclasses import dataclass
 from typing import Any
 
+from stepknot.config.errors import SettingError
 from stepknot.config.hcl import Block
-from stepknot.config.readers import Bad, Checker, Key, address, count, duration, flag, size, text
+from stepknot.config.readers import Checker, Key, address, count, duration, flag, size, text
 from stepknot.membership.model import MembershipSettings
 
 DEFAULT = MembershipSettings()
@@ -20,11 +21,11 @@
     """Read a member's or a fleet's name.
 
     Raises:
-        Bad: It is too long, or not printable.
+        SettingError: It is too long, or not printable.
     """
     found = text(value)
     if len(found) > MAX_NAME_LENGTH or not found.isprintable():
-        raise Bad("expected a name of 64 printable characters at the most")
+        raise SettingError("expected a name of 64 printable characters at the most")
     return found
 
 
@@ -32,15 +33,15 @@
     """Read the seeds' addresses.
 
     Raises:
-        Bad: They are no list of different addresses with ports.
+        SettingError: They are no list of different addresses with ports.
     """
     if not isinstance(value, list):
-        raise Bad('expected a list of addresses such as ["10.0.0.4:9600"]')
+        raise SettingError('expected a list of addresses such as ["10.0.0.4:9600"]')
     found = tuple(map(address, value))
     if any(not port for _, port in found):
-        raise Bad("expected a port over 0 in each")
+        raise SettingError("expected a port over 0 in each")
     if len(set(found)) != len(found):
-        raise Bad("expected each address once")
+        raise SettingError("expected each address once")
     return found
 
 
--- a/stepknot/config/readers.py
+++ b/stepknot/config/readers.py
@@ -12,23 +12,20 @@
 
 import orjson
 
-from stepknot.config.hcl import Block, Problem, Value
+from stepknot.config.errors import Problem, SettingError
+from stepknot.config.hcl import Block, Value
 
 REQUIRED = object()
 UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
 SIZES = {"kb": 1024, "mb": 1024**2, "gb": 1024**3, "b": 1}
 
 
-class Bad(Exception):
-    """A value that a reader turns down; its text is what was expected."""
-
-
 Read = Callable[[Any], Any]
 
 
 def text(value: Any) -> str:
     if not isinstance(value, str) or not value:
-        raise Bad("expected a string that is not empty")
+        raise SettingError("expected a string that is not empty")
     return value
 
 
@@ -37,7 +34,7 @@
         return float(value)
     found = re.fullmatch(r"(\d+(?:\.\d+)?)(ms|s|m|h)", value) if isinstance(value, str) else None
     if not found:
-        raise Bad('expected a duration such as "250ms", "2s" or a number of seconds')
+        raise SettingError('expected a duration such as "250ms", "2s" or a number of seconds')
     return float(found[1]) * UNITS[found[2]]
 
 
@@ -46,14 +43,14 @@
         return value
     found = re.fullmatch(r"(\d+)(b|kb|mb|gb)", value.lower()) if isinstance(value, str) else None
     if not found:
-        raise Bad('expected a size such as "64kb", "32mb" or a number of bytes')
+        raise SettingError('expected a size such as "64kb", "32mb" or a number of bytes')
     return int(found[1]) * SIZES[found[2]]
 
 
 def count(least: int = 1, most: int = 1_000_000) -> Read:
     def read(value: Any) -> int:
         if not isinstance(value, int) or isinstance(value, bool) or not least <= value <= most:
-            raise Bad(f"expected a whole number from {least} to {most}")
+            raise SettingError(f"expected a whole number from {least} to {most}")
         return value
 
     return read
@@ -66,7 +63,7 @@
             or isinstance(value, bool)
             or not least <= value <= most
         ):
-            raise Bad(
+            raise SettingError(
                 f"expected a number from {least:g} to {most:g}"
                 if most < float("inf")
                 else f"expected a number of {least:g} or more"
@@ -78,14 +75,14 @@
 
 def flag(value: Any) -> bool:
     if not isinstance(value, bool):
-        raise Bad("expected true or false")
+        raise SettingError("expected true or false")
     return value
 
 
 def one_of(*names: str) -> Read:
     def read(value: Any) -> str:
         if value not in names:
-            raise Bad(f"expected one of {', '.join(names)}")
+            raise SettingError(f"expected one of {', '.join(names)}")
         return str(value)
 
     return read
@@ -94,7 +91,7 @@
 def some_of(*names: str) -> Read:
     def read(value: Any) -> tuple[str, ...]:
         if not isinstance(value, list) or not value or any(each not in names for each in value):
-            raise Bad(f"expected a list of some of {', '.join(names)}")
+            raise SettingError(f"expected a list of some of {', '.join(names)}")
         return tuple(value)
 
     return read
@@ -105,10 +102,10 @@
         isinstance(tier, list) and tier and all(isinstance(name, str) for name in tier)
         for tier in value
     ):
-        raise Bad('expected lists of zones, best first, such as [["a"], ["b", "c"]]')
+        raise SettingError('expected lists of zones, best first, such as [["a"], ["b", "c"]]')
     names = [name for tier in value for name in tier]
     if len(set(names)) != len(names):
-        raise Bad("expected each zone in one tier")
+        raise SettingError("expected each zone in one tier")
     return tuple(map(tuple, value))
 
 
@@ -117,9 +114,11 @@
     try:
         ipaddress.ip_address(host.strip("[]"))
     except ValueError:
-        raise Bad('expected an address and port such as "127.0.0.1:9200" or "[::1]:9200"') from None
+        raise SettingError(
+            'expected an address and port such as "127.0.0.1:9200" or "[::1]:9200"'
+        ) from None
     if not port.isdigit() or int(port) > 65535:
-        raise Bad("expected a port from 0 to 65535 after the address")
+        raise SettingError("expected a port from 0 to 65535 after the address")
     return host.strip("[]"), int(port)
 
 
@@ -158,7 +157,7 @@
     def one(self, value: Value, key: Key, name: str) -> Any:
         try:
             return key.read(value.value)
-        except Bad as error:
+        except SettingError as error:
             self.wrong(value.line, name, f"{error}, not {value.value!r}")
         except (TypeError, ValueError):
             self.wrong(value.line, name, f"not understood: {value.value!r}")
--- a/stepknot/config/settings.py
+++ b/stepknot/config/settings.py
@@ -14,8 +14,9 @@
 from stepknot import interface as api
 from stepknot.admission.model import AdmissionSettings
 from stepknot.config.admission import read_admission
+from stepknot.config.errors import ConfigError
 from stepknot.config.graphql import GraphReader, GraphSettings
-from stepknot.config.hcl import Block, ConfigError, parse
+from stepknot.config.hcl import Block, parse
 from stepknot.config.leases import LeaseConfig, read_ownership
 from stepknot.config.membership import Peers, read_peers
 from stepknot.config.query_classes import read_classes
--- a/stepknot/discovery/endpoint_file.py
+++ b/stepknot/discovery/endpoint_file.py
@@ -15,8 +15,9 @@
 
 import orjson
 
-from stepknot.config.hcl import ConfigError, Problem, parse
-from stepknot.config.readers import Bad, address
+from stepknot.config.errors import ConfigError, Problem, SettingError
+from stepknot.config.hcl import parse
+from stepknot.config.readers import address
 from stepknot.interface import ListKind, ListReceived, ServerEntry, ServerState
 from stepknot.net.loop import Loop
 
@@ -66,9 +67,9 @@
         try:
             entry = _read_entry(row.given, clock_offset)
             if entry.server in entries:
-                raise Bad(f"{entry.server} is listed twice")
+                raise SettingError(f"{entry.server} is listed twice")
             entries[entry.server] = entry
-        except (Bad, TypeError, ValueError) as error:
+        except (SettingError, TypeError, ValueError) as error:
             problems.append(Problem(str(path), row.line, f"boxes[{position}]", str(error)))
     if problems:
         raise ConfigError(problems)
@@ -172,21 +173,21 @@
 
 def _read_entry(given: Any, clock_offset: float) -> ServerEntry:
     if not isinstance(given, dict):
-        raise Bad("expected an object")
+        raise SettingError("expected an object")
     unknown = set(given) - KNOWN_KEYS
     if unknown:
         known = ", ".join(sorted(KNOWN_KEYS))
-        raise Bad(f"unknown key {min(unknown)}; known: {known}")
+        raise SettingError(f"unknown key {min(unknown)}; known: {known}")
     server = given.get("address")
     address(server)
     state, cell = given.get("state", "live"), given.get("cell", 0)
     if state not in ("live", "draining"):
-        raise Bad(f"expected state live or draining, not {state!r}")
+        raise SettingError(f"expected state live or draining, not {state!r}")
     if not isinstance(cell, int) or cell < 0:
-        raise Bad(f"expected a cell of 0 or more, not {cell!r}")
+        raise SettingError(f"expected a cell of 0 or more, not {cell!r}")
     up_since = given.get("up_since", 0)
     if not isinstance(up_since, (int, float)):
-        raise Bad(f"expected up_since in seconds since 1970, not {up_since!r}")
+        raise SettingError(f"expected up_since in seconds since 1970, not {up_since!r}")
     return ServerEntry(
         server=str(server),
         zone=str(given.get("zone", "")),
--- a/stepknot/simulation/script.py
+++ b/stepknot/simulation/script.py
@@ -21,8 +21,9 @@
 
 import orjson
 
-from stepknot.config.hcl import ConfigError, Problem, parse
-from stepknot.config.readers import Bad, Checker, Key, count, duration, number, text
+from stepknot.config.errors import ConfigError, Problem, SettingError
+from stepknot.config.hcl import parse
+from stepknot.config.readers import Checker, Key, count, duration, number, text
 
 BOX_FAULTS = (
     "hang",
@@ -63,7 +64,7 @@
 
 def doing(value: Any) -> str:
     if value not in DOINGS:
-        raise Bad(f"expected one of {', '.join(DOINGS)}")
+        raise SettingError(f"expected one of {', '.join(DOINGS)}")
     return str(value)
 
 
--- a/stepknot/simulation/stand_in_node.py
+++ b/stepknot/simulation/stand_in_node.py
@@ -20,7 +20,7 @@
 import orjson
 
 from stepknot.broker.index_definitions import make_index
-from stepknot.config.hcl import ConfigError
+from stepknot.config.errors import ConfigError
 from stepknot.config.settings import Config, Index
 from stepknot.discovery.endpoint_file import read_endpoint_list
 from stepknot.interface import Effect, Outcome, Rules
--- a/tests/config/test_membership.py
+++ b/tests/config/test_membership.py
@@ -13,7 +13,7 @@
 from stepknot.cli.main import cli
 from stepknot.cli.tables import explain_member, members_table
 from stepknot.cli.views import MembersView
-from stepknot.config.hcl import ConfigError
+from stepknot.config.errors import ConfigError
 from stepknot.config.settings import load
 from stepknot.simulation.fleet import Fleet, settings_text
 
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -8,7 +8,8 @@
 from click.testing import CliRunner
 
 from stepknot.cli.main import cli
-from stepknot.config.hcl import ConfigError, parse
+from stepknot.config.errors import ConfigError
+from stepknot.config.hcl import parse
 from stepknot.config.settings import load
 from stepknot.discovery.endpoint_file import diff_endpoint_lists, read_endpoint_list
 from stepknot.interface import Effect, ServerState
--- a/tests/graphql/test_decisions.py
+++ b/tests/graphql/test_decisions.py
@@ -12,8 +12,8 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
+from stepknot.config.errors import ConfigError
 from stepknot.config.graphql import GraphLimits
-from stepknot.config.hcl import ConfigError
 from stepknot.config.hcl import parse as parse_hcl
 from stepknot.config.settings import build, load
 from stepknot.frontends.graphql.budget import Budget, Budgets
--- a/tests/leases/test_settings.py
+++ b/tests/leases/test_settings.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from stepknot.config.hcl import ConfigError
+from stepknot.config.errors import ConfigError
 from stepknot.config.settings import load
 from stepknot.simulation.fleet import settings_text
 
--- a/tests/subsets/test_config.py
+++ b/tests/subsets/test_config.py
@@ -14,7 +14,7 @@
 from stepknot.cli.main import cli
 from stepknot.cli.tables import explain_node, subset_table
 from stepknot.cli.views import SubsetView
-from stepknot.config.hcl import ConfigError
+from stepknot.config.errors import ConfigError
 from stepknot.config.settings import load
 from stepknot.simulation.fleet import settings_text
 from stepknot.subsets.model import DEFAULT_HOLDERS, DEFAULT_NEAR, DEFAULT_SIZE, SubsetSettings
