--- a/stepknot/config/graphql.py
+++ b/stepknot/config/graphql.py
@@ -14,17 +14,8 @@
 
 from stepknot.config.errors import SettingError
 from stepknot.config.hcl import Block
-from stepknot.config.readers import (
-    Checker,
-    Key,
-    address,
-    count,
-    flag,
-    number,
-    one_of,
-    size,
-    text,
-)
+from stepknot.config.persisted import read_persisted
+from stepknot.config.readers import Checker, Key, address, count, flag, number, one_of, size, text
 
 FIELD_NAME = re.compile(r"(?!__)[_A-Za-z][_0-9A-Za-z]*")
 # What a field of an index is in the graph; whole numbers of over 32 bits have no scalar of GraphQL's own.
@@ -369,7 +360,7 @@
         listen, introspection, mode, file = (
             got.pop(key) for key in ("listen", "introspection", "persisted", "persisted_file")
         )
-        queries = self.checker.persisted(block, file, folder)
+        queries = read_persisted(self.checker, block, file, folder)
         return GraphSettings(
             listen, GraphLimits(**got), introspection, mode, queries, types, entities
         )
--- a/stepknot/config/hcl.py
+++ b/stepknot/config/hcl.py
@@ -14,12 +14,16 @@
 
 @dataclass(slots=True)
 class Value:
+    """An attribute's value and its line."""
+
     line: int
     value: Any  # str, int, float, bool, None, list of these, dict of these
 
 
 @dataclass(slots=True)
 class Block:
+    """A block with its attributes and inner blocks. The file itself is one without kind or labels."""
+
     kind: str
     labels: list[str]
     line: int
@@ -36,50 +40,53 @@
         expected = f"not HCL, near: {context}"
         raise ConfigError(
             [Problem(file, max(getattr(error, "line", 0), 0), "", expected)]
-        ) from None
-    return Reader(file).body(tree.children[0], Block("", [], 1))
+        ) from error
+    return Reader(file).read_body(tree.children[0], Block("", [], 1))
 
 
 class Reader:
+    """Turns the parser's trees into blocks."""
+
     def __init__(self, file: str) -> None:
         self.file = file
 
-    def fail(self, line: int, key: str, expected: str) -> ConfigError:
+    def _fail(self, line: int, key: str, expected: str) -> ConfigError:
         return ConfigError([Problem(self.file, line, key, expected)])
 
-    def body(self, tree: Any, into: Block) -> Block:
+    def read_body(self, tree: Any, into: Block) -> Block:
+        """Add the attributes and blocks of a body. Raises `ConfigError`."""
         for node in tree.children:
             if not isinstance(node, Tree):
                 continue
             if node.data == "attribute":
                 key, line = str(node.children[0].children[0]), node.meta.line
                 if key in into.values:
-                    raise self.fail(
+                    raise self._fail(
                         line, key, f"given twice, first in line {into.values[key].line}"
                     )
-                into.values[key] = Value(line, self.value(node.children[-1], key))
+                into.values[key] = Value(line, self._value(node.children[-1], key))
             elif node.data == "block":
-                into.blocks.append(self.block(node))
+                into.blocks.append(self._block(node))
         return into
 
-    def block(self, node: Any) -> Block:
+    def _block(self, node: Any) -> Block:
         trees = [each for each in node.children if isinstance(each, Tree)]
         kind = str(trees[0].children[0])
-        labels = [self.label(each) for each in trees[1:] if each.data in ("string", "identifier")]
+        labels = [self._label(each) for each in trees[1:] if each.data in ("string", "identifier")]
         block = Block(kind, labels, node.meta.line)
         for each in trees[1:]:
             if each.data == "body":
-                self.body(each, block)
+                self.read_body(each, block)
         return block
 
-    def label(self, node: Any) -> str:
+    def _label(self, node: Any) -> str:
         return (
-            str(node.children[0]) if node.data == "identifier" else str(self.string(node, "label"))
+            str(node.children[0]) if node.data == "identifier" else str(self._string(node, "label"))
         )
 
-    def value(self, node: Any, key: str) -> Any:
+    def _value(self, node: Any, key: str) -> Any:
         if isinstance(node, Token):
-            raise self.fail(
+            raise self._fail(
                 node.line or 0, key, "a literal: string, number, true, false, list or object"
             )
         line = node.meta.line if not node.meta.empty else 0
@@ -90,9 +97,9 @@
         ]
         match node.data:
             case "expr_term" if len(children) == 1:
-                return self.value(children[0], key)
+                return self._value(children[0], key)
             case "string":
-                return self.string(node, key)
+                return self._string(node, key)
             case "int_lit":
                 return int(node.children[0])
             case "float_lit":
@@ -104,30 +111,30 @@
             ):
                 return {"true": True, "false": False, "null": None}[str(node.children[0])]
             case "unary_op":
-                inner = self.value(children[-1], key)
+                inner = self._value(children[-1], key)
                 if str(node.children[0]).strip() == "-" and isinstance(inner, (int, float)):
                     return -inner
             case "tuple":
-                return [self.value(each, key) for each in children]
+                return [self._value(each, key) for each in children]
             case "object":
                 pairs = [
                     [part for part in each.children if isinstance(part, Tree)] for each in children
                 ]
-                return {self.object_key(pair[0]): self.value(pair[-1], key) for pair in pairs}
-        raise self.fail(line, key, "a literal: string, number, true, false, list or object")
+                return {self._object_key(pair[0]): self._value(pair[-1], key) for pair in pairs}
+        raise self._fail(line, key, "a literal: string, number, true, false, list or object")
 
-    def object_key(self, node: Any) -> str:
+    def _object_key(self, node: Any) -> str:
         while isinstance(node, Tree):
             if node.data == "string":
-                return str(self.string(node, "key"))
+                return str(self._string(node, "key"))
             node = node.children[0]
         return str(node)
 
-    def string(self, node: Any, key: str) -> str:
+    def _string(self, node: Any, key: str) -> str:
         text = ""
         for each in node.children:
             if isinstance(each, Tree):
                 if any(isinstance(part, Tree) for part in each.children):
-                    raise self.fail(node.meta.line, key, "a plain string, without ${...}")
+                    raise self._fail(node.meta.line, key, "a plain string, without ${...}")
                 text += "".join(map(str, each.children))
         return text.replace('\\"', '"').replace("\\n", "\n").replace("\\\\", "\\")
