--- a/bench/lease_search.py
+++ b/bench/lease_search.py
@@ -1,4 +1,4 @@
-"""Look for breaches of ownership's invariants: `python bench/lease_search.py days --seeds 1000`.
+"""Look for violations of the leases' invariants: `python bench/lease_search.py days --seeds 1000`.
 
 `days`: random days on the virtual clock; a failing seed is printed and replays with `--first SEED --seeds 1`. `walks`,
 `phases`: the model checker at random, without and with time. `explore`: every order of the first actions. Exit code 1
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -1,4 +1,4 @@
-"""Ownership measured in its model, against two baselines on the same faults: `python bench/leases.py --seeds 20`.
+"""Leases measured in its model, against two baselines on the same faults: `python bench/leases.py --seeds 20`.
 
 Simulated: 5 voters, 45 clients, links of 0.2 to 2 ms, disks that take up to 5 ms. For each fault of the owner: how long
 nobody acts, and how many acts two did at once. The baselines are textbook ones written here: a lock file with a
--- a/bench/scale_leases.py
+++ b/bench/scale_leases.py
@@ -1,4 +1,4 @@
-"""Ownership against members, jobs and voters: the decisions as they ship, in their model, when nothing is wrong.
+"""Leases against members, jobs and voters: the decisions as they ship, in their model, when nothing is wrong.
 
 Counted once every job has an owner. The model's own check of who acts at each moment is left out here: it looks at all
 members for each tick; `tests/leases` and the search make it. CPU is that of ticks and datagrams.
--- a/stepknot/simulation/lease_model.py
+++ b/stepknot/simulation/lease_model.py
@@ -1,4 +1,4 @@
-"""Ownership at size: the decisions as they ship, on a virtual clock, with clocks that drift, disks that are written
+"""Leases at size: the decisions as they ship, on a virtual clock, with clocks that drift, disks that are written
 late or lost, processes that stand still or die, and links that fail, all from a seed.
 
 The job counts: each record names the one before it, so a lost or doubled step shows in the history. That is taken where
--- a/stepknot/simulation/lease_model_world.py
+++ b/stepknot/simulation/lease_model_world.py
@@ -34,9 +34,9 @@
     """How much may happen."""
 
     claims: int = 2  # of each candidate
-    writes: int = 1  # of each epoch, beyond taking the ledger over
-    crashes: int = 1  # of voters, with memory
-    losses: int = 1  # of voters' memory, one at a time: a majority's is assumed to last
+    writes: int = 1  # of each epoch, beyond the record that is committed anew
+    crashes: int = 1  # of voters, with their state
+    losses: int = 1  # of voters' states, one at a time: a majority's is assumed to last
     time: int = 0  # steps of the clock; 0: without time
     lease: int = 2  # steps
     handovers: int = 0
@@ -47,12 +47,14 @@
     """What is checked; tests plant defects in subclasses."""
 
     voter: type[LeaseVoter] = LeaseVoter
-    owner: type[LeaseCandidate] = LeaseCandidate
+    candidate: type[LeaseCandidate] = LeaseCandidate
     replies_first: bool = False  # a defect of the driver: replies are sent before the save
 
 
 @dataclass
 class World:
+    """All state of one run: voters with their disks, candidates, and what was ever sent."""
+
     scope: Scope
     parts: Parts
     now: int = 0
@@ -61,7 +63,7 @@
     waiting: dict[str, list[tuple[str, Any]]] = field(
         default_factory=dict
     )  # replies until the disk has them
-    owners: dict[str, LeaseCandidate] = field(default_factory=dict)
+    candidates: dict[str, LeaseCandidate] = field(default_factory=dict)
     sent: dict[tuple[str, str, bytes], None] = field(
         default_factory=dict
     )  # all that ever was: to, from, what
@@ -80,7 +82,7 @@
             self.restart(name)
             self.voters[name].votes_from = float("-inf")  # the first start of a fleet
         for number, name in enumerate(CANDIDATES):
-            self.owners[name] = self.parts.owner(
+            self.candidates[name] = self.parts.candidate(
                 JOB, ProcessId(name, number), self.settings(candidate=True), 0
             )
             self.claims[name] = self.writes[name] = 0
@@ -102,22 +104,22 @@
     def actions(self) -> list[Action]:
         found: list[Action] = [("deliver", *each) for each in self.sent]
         scope = self.scope
-        for name, owner in self.owners.items():
-            if owner.phase is not Phase.HOLDING and self.claims[name] < scope.claims:
+        for name, candidate in self.candidates.items():
+            if candidate.phase is not Phase.HOLDING and self.claims[name] < scope.claims:
                 found.append(("claim", name))
-            if owner.phase is Phase.HOLDING:
+            if candidate.phase is Phase.HOLDING:
                 found.append(("nudge", name))
                 if not scope.time:
                     found.append(("stop", name))
                 if (
-                    not owner.has_pending_record
-                    and owner.committed is not None
+                    not candidate.has_pending_record
+                    and candidate.committed is not None
                     and self.writes[name] < scope.writes
                 ):
                     found.append(("write", name))
                 if self.handovers < scope.handovers:
                     found.append(("hand over", name))
-                if scope.time and owner.renewal.next_at <= self.now:
+                if scope.time and candidate.renewal.next_at <= self.now:
                     found.append(("renew", name))
         for name, voter in self.voters.items():
             if voter.unsaved:
@@ -141,20 +143,20 @@
     def do_deliver(self, to: str, source: str, data: bytes) -> None:
         message = decode(data)
         if to in self.voters:
-            birth = self.owners[source].process.birth if source in self.owners else 0
+            birth = self.candidates[source].process.birth if source in self.candidates else 0
             reply = self.voters[to].receive(self.now, ProcessId(source, birth), message)
             if reply is not None:
                 self.reply(to, source, reply)
         else:
-            owner = self.owners[to]
+            candidate = self.candidates[to]
             if isinstance(message, messages.HandoverOffer):
-                if owner.phase is Phase.IDLE and self.claims[to] < self.scope.claims:
+                if candidate.phase is Phase.IDLE and self.claims[to] < self.scope.claims:
                     self.claims[to] += 1
                     self.writes[to] = 0
-                    owner.highest_epoch = max(owner.highest_epoch, message.epoch)
-                    owner.start_election(self.now, released_epoch=message.epoch)
+                    candidate.highest_epoch = max(candidate.highest_epoch, message.epoch)
+                    candidate.start_election(self.now, released_epoch=message.epoch)
             else:
-                owner.receive(self.now, source, message)
+                candidate.receive(self.now, source, message)
             self.carry(to)
 
     def reply(self, voter: str, to: str, message: Any) -> None:
@@ -187,68 +189,68 @@
             self.sent[to, name, encode(message)] = None
 
     def do_claim(self, name: str) -> None:
-        owner = self.owners[name]
+        candidate = self.candidates[name]
         self.claims[name] += 1
         self.writes[name] = 0
-        if owner.phase is Phase.ELECTING:
-            owner.abandon_election(self.now, "")
-        owner.start_election(self.now)
+        if candidate.phase is Phase.ELECTING:
+            candidate.abandon_election(self.now, "")
+        candidate.start_election(self.now)
         self.carry(name)
 
     def do_nudge(self, name: str) -> None:
         """All that is sent again in time: records on their way, and claims to those that did not grant."""
-        owner = self.owners[name]
-        if owner.replication.pending is not None:
-            owner.replication.pending.send_at = float("-inf")
-        owner.replicate(self.now)
-        owner.send_prepare()
+        candidate = self.candidates[name]
+        if candidate.replication.pending is not None:
+            candidate.replication.pending.send_at = float("-inf")
+        candidate.replicate(self.now)
+        candidate.send_prepare()
         self.carry(name)
 
     def do_stop(self, name: str) -> None:
         """Its lease ran out, or it was started again."""
-        self.owners[name].stop(self.now, "")
+        self.candidates[name].stop(self.now, "")
         self.carry(name)
 
     def do_renew(self, name: str) -> None:
-        self.owners[name].renew(self.now)
+        self.candidates[name].renew(self.now)
         self.carry(name)
 
     def do_write(self, name: str) -> None:
-        owner = self.owners[name]
-        assert owner.committed is not None
+        candidate = self.candidates[name]
+        assert candidate.committed is not None
         self.writes[name] += 1
-        owner.propose(
-            self.now, owner.committed.value + f"{owner.epoch}.{self.writes[name]} ".encode()
+        candidate.propose(
+            self.now, candidate.committed.value + f"{candidate.epoch}.{self.writes[name]} ".encode()
         )
         self.carry(name)
 
     def do_hand_over(self, name: str) -> None:
         self.handovers += 1
         other = next(each for each in CANDIDATES if each != name)
-        self.owners[name].hand_over(self.now, other, "")
+        self.candidates[name].hand_over(self.now, other, "")
         self.carry(name)
 
     def do_time(self) -> None:
         self.now += 1
-        for name, owner in self.owners.items():
-            owner.backoff.next_election_at = float("inf")  # claims are actions of their own
-            if owner.phase is Phase.HOLDING and self.now >= owner.lease_expires_at:
-                owner.stop(self.now, "")
+        for name, candidate in self.candidates.items():
+            candidate.backoff.next_election_at = float("inf")  # claims are actions of their own
+            if candidate.phase is Phase.HOLDING and self.now >= candidate.lease_expires_at:
+                candidate.stop(self.now, "")
             self.carry(name)
 
     def carry(self, name: str) -> None:
-        owner = self.owners[name]
-        for to, message in owner.outbox:
+        candidate = self.candidates[name]
+        for to, message in candidate.outbox:
             self.sent[to, name, encode(message)] = None
-        owner.outbox = []
-        owner.events = []
-        owner.backoff.next_election_at = 0.0
+        candidate.outbox = []
+        candidate.events = []
+        candidate.backoff.next_election_at = 0.0
 
     # --- what must hold
 
     def check(self) -> None:
-        for name, owner in self.owners.items():
-            held = owner.committed
+        for name, candidate in self.candidates.items():
+            held = candidate.committed
             if held is not None and self.counted.setdefault(held.version, held.value) != held.value:
                 raise Breach(f"{name}: two records count as {held.version}")
         rows = sorted(self.counted.items())
@@ -258,8 +260,8 @@
         if self.scope.time:
             owning = [
                 name
-                for name, owner in self.owners.items()
-                if owner.phase is Phase.HOLDING and self.now < owner.lease_expires_at
+                for name, candidate in self.candidates.items()
+                if candidate.phase is Phase.HOLDING and self.now < candidate.lease_expires_at
             ]
             if len(owning) > 1:
                 raise Breach(f"{' and '.join(owning)} own at {self.now}")
@@ -327,9 +329,9 @@
                     waiting,
                 )
             )
-        owners = []
-        for name, owner in self.owners.items():
-            election, replication = owner.election, owner.replication
+        candidates = []
+        for name, candidate in self.candidates.items():
+            election, replication = candidate.election, candidate.replication
             pending = replication.pending and (
                 held(replication.pending.record),
                 of(
@@ -341,27 +343,27 @@
             )
             times = (
                 (
-                    owner.lease_expires_at,
+                    candidate.lease_expires_at,
                     election.started_at,
-                    owner.renewal.next_at,
+                    candidate.renewal.next_at,
                     [
                         (
                             number,
                             each_round.sent_at,
                             of({each: msg(reply) for each, reply in each_round.replies.items()}),
                         )
-                        for number, each_round in owner.renewal.rounds.items()
+                        for number, each_round in candidate.renewal.rounds.items()
                     ],
                 )
                 if self.scope.time
                 else ()
             )
-            owners.append(
+            candidates.append(
                 (
                     names[name],
-                    owner.phase.name,
-                    owner.epoch,
-                    owner.highest_epoch,
+                    candidate.phase.name,
+                    candidate.epoch,
+                    candidate.highest_epoch,
                     election.released_epoch,
                     of({each: msg(promise) for each, promise in election.promises.items()}),
                     of(election.rejections),
@@ -369,7 +371,7 @@
                     replication.step,
                     times,
                     pending,
-                    owner.committed and held(owner.committed),
+                    candidate.committed and held(candidate.committed),
                     self.claims[name],
                     self.writes[name],
                 )
@@ -381,7 +383,7 @@
         return repr(
             (
                 sorted(voters),
-                sorted(owners),
+                sorted(candidates),
                 sent,
                 counts,
                 self.now,
--- a/stepknot/simulation/scale_leases.py
+++ b/stepknot/simulation/scale_leases.py
@@ -1,4 +1,4 @@
-"""Ownership on a simulated member: the classes that ship, by datagrams of the member's own socket.
+"""Leases on a simulated member: the classes that ship, by datagrams of the member's own socket.
 
 Simulated are a voter's disk, which is memory, and the jobs, which do nothing: a simulated owner holds a job's lease and
 its ledger, and takes no order. A voter that crashed stays away, as its memory is lost with it.
--- a/tests/leases/test_model_checker.py
+++ b/tests/leases/test_model_checker.py
@@ -190,12 +190,12 @@
         (WALK, NO_TIME, Parts(PromisesAnEpochTwice)),
         (PHASES, NO_TIME, Parts(VotesWithoutItsState)),
         (WALK, NO_TIME, Parts(AcceptsAnEarlierEpoch)),
-        (PHASES, NO_TIME, Parts(owner=CommitsAtTheFirstAck)),
+        (PHASES, NO_TIME, Parts(candidate=CommitsAtTheFirstAck)),
         (WALK, TIME, Parts(PromisesDuringALease)),
         (WALK, TIME, Parts(VotesRightAfterItsStart)),
-        (WALK, TIME, Parts(owner=CountsTheLeaseFromThePromise)),
-        (PHASES, RENEWING, Parts(owner=CountsRenewalsFromTheReply)),
-        (WALK, TIME, Parts(owner=OffersBeforeItStops)),
+        (WALK, TIME, Parts(candidate=CountsTheLeaseFromThePromise)),
+        (PHASES, RENEWING, Parts(candidate=CountsRenewalsFromTheReply)),
+        (WALK, TIME, Parts(candidate=OffersBeforeItStops)),
     ],
     ids=lambda each: (
         each
@@ -204,7 +204,7 @@
         if isinstance(each, Scope)
         else "RepliesBeforeTheSave"
         if each.replies_first
-        else (each.voter if each.voter is not LeaseVoter else each.owner).__name__
+        else (each.voter if each.voter is not LeaseVoter else each.candidate).__name__
     ),
 )
 def test_a_planted_defect_is_detected_and_its_trail_replays(
@@ -315,7 +315,7 @@
 @pytest.mark.parametrize(
     ("script", "defect", "last"),
     [
-        (a_record_at_a_minority_is_taken_over, Parts(owner=DoesNotCommitTheBaseAnew), (3, 1)),
+        (a_record_at_a_minority_is_taken_over, Parts(candidate=DoesNotCommitTheBaseAnew), (3, 1)),
         (a_voter_reads_others_in_its_recovery, Parts(RecoversFromOneVoter), (2, 1)),
         (a_voter_reads_others_in_its_recovery, Parts(ForgetsRecordsOfItsRecovery), (2, 1)),
     ],
