--- a/tests/admission/test_sockets.py
+++ b/tests/admission/test_sockets.py
@@ -188,6 +188,7 @@
         b"POST /reports/_search HTTP/1.1\r\nhost: x\r\ncontent-length: 2000000\r\n\r\n"
     )
     assert client.read().status == 429
+    assert view(run)["lane"] == 1  # it stays open: its body is still to be read off
     client.sock.sendall(b"x" * 2_000_000)  # read off: a reset could have taken the answer away
     assert client.sock.recv(1) == b""
     until(lambda: view(run)["lane"] == 0)
