--- a/stepknot/config/hcl.py
+++ b/stepknot/config/hcl.py
@@ -11,6 +11,9 @@
 
 from stepknot.config.errors import ConfigError, Problem
 
+LITERAL = "a literal: string, number, true, false, list or object"  # what was expected
+WORDS = {"true": True, "false": False, "null": None}
+
 
 @dataclass(slots=True)
 class Value:
@@ -85,11 +88,9 @@
         )
 
     def _value(self, node: Any, key: str) -> Any:
+        """A literal: a scalar, or a list or object of literals."""
         if isinstance(node, Token):
-            raise self._fail(
-                node.line or 0, key, "a literal: string, number, true, false, list or object"
-            )
-        line = node.meta.line if not node.meta.empty else 0
+            raise self._fail(node.line or 0, key, LITERAL)
         children = [
             each
             for each in node.children
@@ -98,30 +99,31 @@
         match node.data:
             case "expr_term" if len(children) == 1:
                 return self._value(children[0], key)
+            case "tuple":
+                return [self._value(each, key) for each in children]
+            case "object":
+                return self._object(children, key)
+        return self._scalar(node, children, key)
+
+    def _scalar(self, node: Any, children: list[Any], key: str) -> Any:
+        match node.data:
             case "string":
                 return self._string(node, key)
             case "int_lit":
                 return int(node.children[0])
             case "float_lit":
                 return float(node.children[0])
-            case "literal_value" | "identifier" if str(node.children[0]) in (
-                "true",
-                "false",
-                "null",
-            ):
-                return {"true": True, "false": False, "null": None}[str(node.children[0])]
+            case "literal_value" | "identifier" if str(node.children[0]) in WORDS:
+                return WORDS[str(node.children[0])]
             case "unary_op":
                 inner = self._value(children[-1], key)
                 if str(node.children[0]).strip() == "-" and isinstance(inner, (int, float)):
                     return -inner
-            case "tuple":
-                return [self._value(each, key) for each in children]
-            case "object":
-                pairs = [
-                    [part for part in each.children if isinstance(part, Tree)] for each in children
-                ]
-                return {self._object_key(pair[0]): self._value(pair[-1], key) for pair in pairs}
-        raise self._fail(line, key, "a literal: string, number, true, false, list or object")
+        raise self._fail(node.meta.line if not node.meta.empty else 0, key, LITERAL)
+
+    def _object(self, children: list[Any], key: str) -> dict[str, Any]:
+        pairs = [[part for part in each.children if isinstance(part, Tree)] for each in children]
+        return {self._object_key(pair[0]): self._value(pair[-1], key) for pair in pairs}
 
     def _object_key(self, node: Any) -> str:
         while isinstance(node, Tree):
