--- a/stepknot/decisions/capsule.py
+++ b/stepknot/decisions/capsule.py
@@ -1,6 +1,6 @@
 """The capsule of each server: n, its recent mean response time, the watermarks and the wait of a part.
 
-After "Dependency Throttle: Isolating Dependencies in Thread-Based Multi-Tier Internet Services", section IV.
+After "Dependency Capsules: Isolating Dependencies in Thread-Based Multi-Tier Internet Services", section IV.
 The base wait t of a class is its aim less a margin. A part waits t, or less once n exceeds alpha; at beta it
 is not sent. It is bypassed where its wait is shorter than the server's mean. Types: `stepknot/interface.py`.
 """
