--- a/stepknot/broker/metrics/in_flight.py
+++ b/stepknot/broker/metrics/in_flight.py
@@ -25,7 +25,7 @@
                 ("held_queries", len(core.queries), "Queries held"),
                 ("attempts_out", len(core.attempts), "Attempts out"),
                 ("client_connections", len(self.server.connections), "Clients connected"),
-                ("boxes_listed", len(core.servers), "NodeTransport on the list"),
+                ("boxes_listed", len(core.servers), "Boxes on the list"),
                 ("loop_lag_most_seconds", self.loop.lag_most, "The longest turn so far"),
             )
         ]
--- a/stepknot/broker/service.py
+++ b/stepknot/broker/service.py
@@ -65,7 +65,7 @@
 
     Raises:
         OSError: An address cannot be listened on.
-        UnfitError: The voter's state on disk cannot be used.
+        VoterStateMismatchError: The voter's state on disk cannot be used.
     """
 
     def __init__(
