--- a/stepknot/config/leases.py
+++ b/stepknot/config/leases.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from functools import partial
 from pathlib import Path
 from typing import Any
 
@@ -66,13 +67,7 @@
     if checker.problems or not got["enabled"]:
         return None
 
-    def wrong(key: str, expected: str) -> None:
-        checker.wrong(
-            block.values[key].line if key in block.values else block.line,
-            f"ownership.{key}",
-            expected,
-        )
-
+    wrong = partial(checker.wrong_key, block, "ownership.")
     if peers is None:
         checker.wrong(
             block.line, "ownership", "expected a peers block: its members are who votes and owns"
--- a/stepknot/config/membership.py
+++ b/stepknot/config/membership.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from functools import partial
 from typing import Any
 
 from stepknot.config.errors import SettingError
@@ -94,11 +95,7 @@
     if checker.problems or not got["enabled"]:
         return None
 
-    def wrong(key: str, expected: str) -> None:
-        checker.wrong(
-            block.values[key].line if key in block.values else block.line, f"peers.{key}", expected
-        )
-
+    wrong = partial(checker.wrong_key, block, "peers.")
     if not MIN_PERIOD <= got["period"] <= MAX_PERIOD:
         wrong("period", 'expected from "50ms" to "10s"')
     if got["pause"] < MIN_PAUSE_PERIODS * got["period"]:
--- a/stepknot/config/query_classes.py
+++ b/stepknot/config/query_classes.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from stepknot import interface as api
-from stepknot.config.hcl import Block, Value
+from stepknot.config.hcl import Block
 from stepknot.config.readers import Checker, Key, count, duration, number, one_of, some_of
 
 OPERATIONS = ("search", "count", "get", "mget", "index", "create", "update", "delete", "bulk")
@@ -65,8 +65,7 @@
     where = f"class.{block.labels[0]}."
     for key, other in (("floor", "need"), ("aim", "deadline")):
         if got[key] > got[other]:
-            line = block.values.get(key, Value(block.line, 0)).line
-            checker.wrong(line, where + key, f"expected {other} ({got[other]:g}) or less")
+            checker.wrong_key(block, where, key, f"expected {other} ({got[other]:g}) or less")
     if got["effect"] == "keyed" and not got["repeat_window"]:
         checker.wrong(block.line, where + "repeat_window", "missing: a keyed class has one")
     if got["effect"] != "safe" and got["steps"] == MAX_STEPS:
--- a/stepknot/config/readers.py
+++ b/stepknot/config/readers.py
@@ -162,6 +162,18 @@
         """Note a problem."""
         self.problems.append(Problem(self.file, line, key, expected))
 
+    def wrong_key(self, block: Block, where: str, key: str, expected: str) -> None:
+        """Note a problem of a block's key, on its line, or on the block's where the key is absent.
+
+        Args:
+            block: The block.
+            where: Goes before the key's name.
+            key: The key's name.
+            expected: What was expected.
+        """
+        line = block.values[key].line if key in block.values else block.line
+        self.wrong(line, where + key, expected)
+
     def read(self, block: Block | None, table: dict[str, Key], where: str) -> dict[str, Any]:
         """The values of a block, None where one is wrong.
 
--- a/stepknot/config/subsets.py
+++ b/stepknot/config/subsets.py
@@ -7,6 +7,7 @@
 
 import math
 from dataclasses import dataclass
+from functools import partial
 from typing import TYPE_CHECKING, Any
 
 from stepknot.config.hcl import Block
@@ -66,13 +67,10 @@
     # Loaded here, as nothing of the package is loaded without the block.
     from stepknot.subsets.model import SubsetSettings
 
-    def report(key: str, expected: str) -> None:
-        line = block.values[key].line if key in block.values else block.line
-        checker.wrong(line, f"subset.{key}", expected)
-
+    wrong = partial(checker.wrong_key, block, "subset.")
     identity = got.pop("identity") or around.peer_name
     if not identity:
-        report(
+        wrong(
             "identity",
             "missing: brokers with one identity would use the same nodes; here, or as peers.name",
         )
@@ -80,10 +78,10 @@
     settings = SubsetSettings(identity, zone=around.zone, tiers=around.tiers, **given)
     size_problem = _size_problem(settings.size, around)
     if size_problem:
-        report("size", size_problem)
+        wrong("size", size_problem)
     near_problem = _near_problem(settings.near, around)
     if near_problem:
-        report("near", near_problem)
+        wrong("near", near_problem)
     return settings
 
 
