--- a/bench/planted_defects/broker.py
+++ b/bench/planted_defects/broker.py
@@ -29,8 +29,11 @@
     ),
     PlantedDefect(
         path="stepknot/broker/service.py",
-        original="yield from self._wait_while(lambda: bool(self.core.queries), IN_FLIGHT_GRACE)",
-        replacement="pass",
+        original="""        yield from self.wait_while(
+            lambda: bool(self.core.queries), IN_FLIGHT_GRACE, STOP_POLL_INTERVAL
+        )
+""",
+        replacement="        yield from ()\n",
         tests=(
             "tests/broker/test_stalls_and_shutdown.py::test_graceful_shutdown_answers_queries_in_flight",
         ),
--- a/bench/planted_defects/platform.py
+++ b/bench/planted_defects/platform.py
@@ -281,8 +281,8 @@
     ),
     PlantedDefect(
         path="stepknot/platform/service.py",
-        original="self._wait_while(WRITE_TIMEOUT_AT_STOP, self._has_unfinished_connections)",
-        replacement="self._wait_while(60.0, self._has_unfinished_connections)",
+        original="self._has_unfinished_connections, WRITE_TIMEOUT_AT_STOP, STOP_POLL_INTERVAL",
+        replacement="self._has_unfinished_connections, 60.0, STOP_POLL_INTERVAL",
         tests=("tests/platform/test_service.py::test_no_client_delays_the_exit",),
     ),
     PlantedDefect(
--- a/stepknot/broker/admission_gate.py
+++ b/stepknot/broker/admission_gate.py
@@ -13,7 +13,6 @@
 from dataclasses import dataclass
 
 from stepknot.admission.addresses import Address
-from stepknot.admission.api_keys import ApiKeys
 from stepknot.admission.controller import AdmissionController
 from stepknot.admission.descriptors import DescriptorBudget
 from stepknot.admission.model import Placement, Verdict
@@ -75,7 +74,6 @@
         self._log = log
         self._wall_clock = wall_clock
         self._peers = PeerAddresses(self.settings.trusted)
-        self._api_keys = ApiKeys(self.settings.keys)
         self._arrival = Arrival(0, Verdict(Placement.REJECTED), b"")  # the last one
         self._admitted: dict[int, Connection] = {}
         self._waiting: dict[int, WaitingConnection] = {}  # the oldest first
@@ -184,7 +182,7 @@
 
     def on_first_request(self, number: int, head: bytes) -> Verdict:
         """Judge a waiting connection by the head of its first request."""
-        api_key = self._api_keys.find_name(head) if AUTHORIZATION.search(head) else ""
+        api_key = self._queries.api_keys.find_name(head) if AUTHORIZATION.search(head) else ""
         verdict = self.admission.on_first_request(self.loop.now, number, api_key)
         self._close_evicted(verdict)
         return verdict
--- a/stepknot/broker/lease_driver.py
+++ b/stepknot/broker/lease_driver.py
@@ -18,6 +18,7 @@
 from stepknot.broker.core import Core
 from stepknot.broker.lease_views import build_leases_view, is_holder_known
 from stepknot.broker.membership_driver import MembershipDriver
+from stepknot.broker.metrics.families import counter_by_label
 from stepknot.broker.rolling_drains import RollingDrains
 from stepknot.broker.voter_store import VoterStateWriter, VoterStore, encode_state
 from stepknot.config.leases import LeaseConfig
@@ -143,11 +144,9 @@
             for job in node.jobs.values():
                 gauge.add_metric([job.name], value(job))
             metrics.append(gauge)
-        events = CounterMetricFamily(
-            "stepknot_ownership_events", "What happened in ownership", labels=["what"]
+        events = counter_by_label(
+            "stepknot_ownership_events", "What happened in ownership", "what", node.counters
         )
-        for what, count in node.counters.items():
-            events.add_metric([what], count)
         saves = CounterMetricFamily(
             "stepknot_voter_saves", "Saves of the voter's state", self._saved_count
         )
--- a/stepknot/broker/lease_views.py
+++ b/stepknot/broker/lease_views.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-import math
 from typing import Any
 
 import msgspec
 
+from stepknot.broker.ages import AGE_DIGITS, age
 from stepknot.leases import rolling_drains
 from stepknot.leases.candidate import Phase
 from stepknot.leases.fence import Fence
@@ -14,8 +14,6 @@
 from stepknot.leases.node import LeaseNode
 from stepknot.leases.voter import LeaseVoter
 
-AGE_DIGITS = 3  # milliseconds
-
 
 class JobLeaseView(msgspec.Struct, frozen=True):
     """What this broker knows of one job's lease; times in seconds before or after now."""
@@ -109,8 +107,8 @@
         epoch=job.holder_epoch,
         is_held_here=is_held_here,
         phase=candidate.phase.value,
-        seconds_since_seen=_age(now, job.holder_seen_at),
-        held_seconds=_age(now, candidate.held_since) if is_held_here else None,
+        seconds_since_seen=age(now, job.holder_seen_at),
+        held_seconds=age(now, candidate.held_since) if is_held_here else None,
         remaining_seconds=(
             round(candidate.lease_expires_at - now, AGE_DIGITS) if is_held_here else None
         ),
@@ -146,8 +144,3 @@
         promised_epochs={name: job.promised_epoch for name, job in voter.jobs.items()},
         saves=saves,
     )
-
-
-def _age(now: float, at: float) -> float | None:
-    """Seconds since then; None if it never was."""
-    return round(now - at, AGE_DIGITS) if at > -math.inf else None
--- a/stepknot/broker/membership_view.py
+++ b/stepknot/broker/membership_view.py
@@ -5,9 +5,11 @@
 import math
 
 import msgspec
-from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
+from prometheus_client.core import GaugeMetricFamily
 from prometheus_client.metrics_core import Metric
 
+from stepknot.broker.ages import age
+from stepknot.broker.metrics.families import counter_by_label
 from stepknot.membership.model import Record, State
 from stepknot.membership.protocol import MembershipProtocol
 from stepknot.membership.subject import Subject
@@ -92,22 +94,18 @@
         epoch=record.epoch,
         incarnation=record.incarnation,
         is_self=record.name == protocol.own.name,
-        since=_age(now, change.at if change is not None else -math.inf),
+        since=age(now, change.at if change is not None else -math.inf),
         why=change.reason if change is not None else "",
         watched=is_observed,
-        heard=_age(now, subject.last_received),
-        sign=_age(now, subject.last_sign),
+        heard=age(now, subject.last_received),
+        sign=age(now, subject.last_sign),
         sign_by=subject.last_sign_source,
-        hears_me=_age(now, subject.last_received_by_it),
+        hears_me=age(now, subject.last_received_by_it),
         reachable=now - subject.last_received <= settings.suspect_after,
         reaches_me_by_report=now - subject.last_received_by_it <= receives_me_after,
     )
 
 
-def _age(now: float, at: float) -> float | None:
-    return round(now - at, 3) if at > -math.inf else None
-
-
 def membership_metrics(protocol: MembershipProtocol, now: float) -> list[Metric]:
     """Members by state, events, the count's bounds and this member's own state."""
     count = protocol.count(now)
@@ -124,7 +122,9 @@
     )
     return [
         _states_metric(protocol),
-        _events_metric(protocol),
+        counter_by_label(
+            "stepknot_peers_events", "What happened in membership", "what", protocol.counters
+        ),
         *(GaugeMetricFamily(f"stepknot_peers_{name}", text, value) for name, value, text in gauges),
     ]
 
@@ -136,12 +136,3 @@
     for state in State:
         states.add_metric([state.name.lower()], protocol.table.counts[state])
     return states
-
-
-def _events_metric(protocol: MembershipProtocol) -> Metric:
-    events = CounterMetricFamily(
-        "stepknot_peers_events", "What happened in membership", labels=["what"]
-    )
-    for what, count in protocol.counters.items():
-        events.add_metric([what], count)
-    return events
--- a/stepknot/broker/metrics/admission.py
+++ b/stepknot/broker/metrics/admission.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
-from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
+from prometheus_client.core import GaugeMetricFamily
 from prometheus_client.metrics_core import Metric
 
 from stepknot.admission.model import TrustLevel
 from stepknot.broker.admission_gate import AdmissionGate
+from stepknot.broker.metrics.families import counter_by_label
 
 
 class AdmissionMetrics:
@@ -18,18 +19,15 @@
     def collect(self) -> list[Metric]:
         """Counters of decisions, gauges of what is in use."""
         admission = self.gate.admission
-        decided = CounterMetricFamily(
-            "stepknot_admission_decisions", "What admission decided", labels=["what"]
+        decided = counter_by_label(
+            "stepknot_admission_decisions", "What admission decided", "what", admission.decisions
         )
-        for what, count in admission.decisions.items():
-            decided.add_metric([what], count)
-        silent = CounterMetricFamily(
+        silent = counter_by_label(
             "stepknot_admission_silent",
             "Connections closed without an answer, and why",
-            labels=["why"],
+            "why",
+            self.gate.silent_closes(),
         )
-        for what, count in self.gate.silent_closes().items():
-            silent.add_metric([what], count)
         seats = GaugeMetricFamily(
             "stepknot_admission_seats",
             "Connections served, by how well they are known",
--- a/stepknot/broker/metrics/graphql.py
+++ b/stepknot/broker/metrics/graphql.py
@@ -4,9 +4,10 @@
 
 from typing import Any
 
-from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
+from prometheus_client.core import GaugeMetricFamily
 from prometheus_client.metrics_core import Metric
 
+from stepknot.broker.metrics.families import counter_by_label
 from stepknot.net.server import Server
 
 
@@ -23,13 +24,12 @@
 
     def collect(self) -> list[Metric]:
         """Counters of requests, gauges of the rest."""
-        requests = CounterMetricFamily(
+        requests = counter_by_label(
             "stepknot_graphql_requests",
             "GraphQL requests by what became of them",
-            labels=["what"],
+            "what",
+            self.frontend.counts,
         )
-        for what, count in self.frontend.counts.items():
-            requests.add_metric([what], count)
         return [
             requests,
             GaugeMetricFamily(
--- a/stepknot/broker/metrics/queries.py
+++ b/stepknot/broker/metrics/queries.py
@@ -8,6 +8,7 @@
 from prometheus_client.metrics_core import Metric
 
 from stepknot.broker.core import Core
+from stepknot.broker.metrics.families import counter_by_label
 from stepknot.net.loop import Loop
 from stepknot.nodes.connection_pool import ConnectionPool
 
@@ -38,13 +39,12 @@
         ]
 
     def _attempts(self) -> Metric:
-        attempts = CounterMetricFamily(
-            "stepknot_attempts", "Attempts by outcome", labels=["outcome"]
-        )
-        for key, count in self.core.counts.items():
-            if key.startswith(ENDED_PREFIX):
-                attempts.add_metric([key.removeprefix(ENDED_PREFIX)], count)
-        return attempts
+        ended = {
+            key.removeprefix(ENDED_PREFIX): count
+            for key, count in self.core.counts.items()
+            if key.startswith(ENDED_PREFIX)
+        }
+        return counter_by_label("stepknot_attempts", "Attempts by outcome", "outcome", ended)
 
     def _totals(self) -> list[Metric]:
         core, pool, loop = self.core, self.pool, self.loop
--- a/stepknot/broker/process.py
+++ b/stepknot/broker/process.py
@@ -60,6 +60,14 @@
             self.stopping = True
             self.loop.spawn(self.shut_down(), "ending")
 
+    def wait_while(
+        self, condition: Callable[[], bool], max_seconds: float, interval: float
+    ) -> Coroutine:
+        """Wait as long as the condition holds, looked at in each interval, or until the time is over."""
+        until = self.loop.now + max_seconds
+        while condition() and self.loop.now < until:
+            yield from self.loop.sleep(interval)
+
     def shut_down(self) -> Coroutine:
         """Stop accepting, end what is in flight, and stop the loop."""
         raise NotImplementedError
--- a/stepknot/broker/query_admission.py
+++ b/stepknot/broker/query_admission.py
@@ -44,7 +44,7 @@
         self._loop = loop
         self._admission = admission
         self._peers = peers
-        self._api_keys = ApiKeys(admission.settings.keys)
+        self.api_keys = ApiKeys(admission.settings.keys)
         self._tenant_quotas = tenant_quotas
         self._rejections = rejections
         self._close_evicted = close_evicted
@@ -59,7 +59,7 @@
             return None
         address = self._find_client(request, connection, tracked.address)
         if "authorization" in request.headers:
-            api_key = self._api_keys.name_of(request.headers["authorization"])
+            api_key = self.api_keys.name_of(request.headers["authorization"])
             self._close_evicted(admission.on_first_request(now, number, api_key))
         level, tenant = frontend.classify(request)
         quota = self._tenant_quotas.get(tenant, 0.0)
--- a/stepknot/broker/service.py
+++ b/stepknot/broker/service.py
@@ -48,7 +48,7 @@
 MAX_ADMIN_BODY_BYTES = 65536
 IN_FLIGHT_GRACE = 10.0  # seconds for which queries may end by themselves once the broker must stop
 FINAL_ANSWER_GRACE = 2.0  # seconds for final answers to leave after that
-POLL_INTERVAL = 0.02  # seconds between two looks whether all has ended
+STOP_POLL_INTERVAL = 0.02  # seconds between two looks whether all has ended
 Log = Callable[..., None]
 
 
@@ -310,9 +310,11 @@
         for server in (self.server, self.graphql_server, self.admin):
             if server is not None:
                 server.close()
-        yield from self._wait_while(lambda: bool(self.core.queries), IN_FLIGHT_GRACE)
+        yield from self.wait_while(
+            lambda: bool(self.core.queries), IN_FLIGHT_GRACE, STOP_POLL_INTERVAL
+        )
         self.core.finish_all()
-        yield from self._wait_while(self._has_clients, FINAL_ANSWER_GRACE)
+        yield from self.wait_while(self._has_clients, FINAL_ANSWER_GRACE, STOP_POLL_INTERVAL)
         self.pool.close()
         if self.leases is not None:
             self.leases.close()
@@ -323,8 +325,3 @@
     def _has_clients(self) -> bool:
         graphql = self.graphql_server
         return bool(self.server.connections or (graphql is not None and graphql.connections))
-
-    def _wait_while(self, holds: Callable[[], bool], grace: float) -> Coroutine:
-        until = self.loop.now + grace
-        while holds() and self.loop.now < until:
-            yield from self.loop.sleep(POLL_INTERVAL)
--- a/stepknot/broker/subset_report.py
+++ b/stepknot/broker/subset_report.py
@@ -9,6 +9,7 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 from prometheus_client.metrics_core import Metric
 
+from stepknot.broker.metrics.families import counter_by_label
 from stepknot.broker.subset_change_log import SubsetChangeLog
 from stepknot.interface import ServerEntry, ServerState
 from stepknot.net.loop import Loop
@@ -163,7 +164,12 @@
         live = sum(cell.live for cell in subset.index.cells.values())
         return [
             self._held_metric(now),
-            self._changes_metric(),
+            counter_by_label(
+                "stepknot_subset_changes",
+                "Cells that changed, by cause",
+                "cause",
+                {cause.name.lower(): self._change_log.total[cause] for cause in ChangeCause},
+            ),
             CounterMetricFamily(
                 "stepknot_subset_left_out",
                 "Entries that name this broker or a cell that no shard has",
@@ -195,14 +201,6 @@
             metric.add_metric([state], counts[state])
         return metric
 
-    def _changes_metric(self) -> Metric:
-        metric = CounterMetricFamily(
-            "stepknot_subset_changes", "Cells that changed, by cause", labels=["cause"]
-        )
-        for cause in ChangeCause:
-            metric.add_metric([cause.name.lower()], self._change_log.total[cause])
-        return metric
-
     def _quotas(self) -> list[int]:
         """Of cells with nodes."""
         return [cell.quota for cell in self._subset.index.cells.values() if cell.ranked]
--- a/stepknot/platform/service.py
+++ b/stepknot/platform/service.py
@@ -277,17 +277,16 @@
         self.server.close()
         classes = self.config.settings.classes.values()
         longest = max((each.deadline for each in classes), default=0.0)
-        yield from self._wait_while(longest, lambda: bool(self.core.queries))
+        yield from self.wait_while(lambda: bool(self.core.queries), longest, STOP_POLL_INTERVAL)
         self.core.finish_all()
-        yield from self._wait_while(WRITE_TIMEOUT_AT_STOP, self._has_unfinished_connections)
-        yield from self._wait_while(CLOSE_TIMEOUT_AT_STOP, lambda: bool(self.server.connections))
+        yield from self.wait_while(
+            self._has_unfinished_connections, WRITE_TIMEOUT_AT_STOP, STOP_POLL_INTERVAL
+        )
+        yield from self.wait_while(
+            lambda: bool(self.server.connections), CLOSE_TIMEOUT_AT_STOP, STOP_POLL_INTERVAL
+        )
         self.nodes.close()
         self.loop.stop()
 
     def _has_unfinished_connections(self) -> bool:
         return any(not each.is_half_closed for each in self.server.connections)
-
-    def _wait_while(self, max_seconds: float, condition: Callable[[], bool]) -> Coroutine:
-        until = self.loop.now + max_seconds
-        while condition() and self.loop.now < until:
-            yield from self.loop.sleep(STOP_POLL_INTERVAL)
