--- a/stepknot/cli/admin_commands.py
+++ b/stepknot/cli/admin_commands.py
@@ -53,6 +53,15 @@
     return answer
 
 
+def repeat(show_once: Callable[[], Answer], watch: float | None) -> Answer:
+    """Show an answer, again and again with `watch` seconds between; without `watch` once, and return it."""
+    while True:
+        answer = show_once()
+        if not watch:
+            return answer
+        time.sleep(watch)
+
+
 @click.command(cls=Command, examples=["stepknot zones 127.0.0.1:9300 --watch 1"])
 @admin_argument
 @json_option
@@ -62,16 +71,17 @@
 
     Of each zone: its state, tier, rates, bound, recovery ramp, and why.
     """
-    while True:
+
+    def show_once() -> Answer:
         try:
             answer = query_admin(admin, "/zones")
             text = tables.zones_table(as_view(answer, ZonesView))
         except OSError as error:
             fail(f"no broker answers at {admin[0]}:{admin[1]}: {error}")
         click.echo(orjson.dumps(answer) if as_json else text)
-        if not watch:
-            return
-        time.sleep(watch)
+        return answer
+
+    repeat(show_once, watch)
 
 
 @click.command(cls=Command, examples=["stepknot members 127.0.0.1:9300 --why b2"])
@@ -95,12 +105,9 @@
             fail(f"no member {why}; known: {known}")
         return evidence
 
-    while True:
-        answer = show(admin, "/peers", as_json, render)
-        if not watch:
-            unwell = answer["isolated"] or answer["stepped_aside"]
-            raise SystemExit(EXIT_UNHEALTHY if unwell else 0)
-        time.sleep(watch)
+    answer = repeat(lambda: show(admin, "/peers", as_json, render), watch)
+    unwell = answer["isolated"] or answer["stepped_aside"]
+    raise SystemExit(EXIT_UNHEALTHY if unwell else 0)
 
 
 @click.command(
@@ -143,11 +150,8 @@
         path += f"?why={quote(why)}"
     elif as_json:
         path += "?held=1"
-    while True:
-        answer = show(admin, path, as_json, render)
-        if not watch:
-            raise SystemExit(EXIT_UNHEALTHY if answer["off"] else 0)
-        time.sleep(watch)
+    answer = repeat(lambda: show(admin, path, as_json, render), watch)
+    raise SystemExit(EXIT_UNHEALTHY if answer["off"] else 0)
 
 
 @click.command(cls=Command, examples=["stepknot leases 127.0.0.1:9300 --why drains"])
--- a/stepknot/cli/entry.py
+++ b/stepknot/cli/entry.py
@@ -11,15 +11,10 @@
     """Run the command line; exit code 2 where a library is missing."""
     try:
         from stepknot.cli.main import cli
+
+        cli(prog_name="stepknot")  # loads what its command alone needs
     except ModuleNotFoundError as error:
         if (error.name or "").partition(".")[0] == "stepknot":
             raise
         print(f"error: no module {error.name}; {NEEDED}", file=sys.stderr)
         sys.exit(2)
-    try:
-        cli(prog_name="stepknot")
-    except ModuleNotFoundError as error:  # what a command alone needs is loaded by it
-        if (error.name or "").partition(".")[0] == "stepknot":
-            raise
-        print(f"error: no module {error.name}; {NEEDED}", file=sys.stderr)
-        sys.exit(2)
--- a/stepknot/cli/options.py
+++ b/stepknot/cli/options.py
@@ -82,6 +82,17 @@
     )
 
 
+def out_option(default: str) -> Callable[[Any], Any]:
+    """`--out FOLDER` of a trial."""
+    return click.option(
+        "--out",
+        type=click.Path(path_type=Path),
+        default=Path(default),
+        show_default=True,
+        help="Folder for records, logs and settings.",
+    )
+
+
 def read_config(path: Path) -> Config:
     """Read a settings file; end the command with exit code 2 and all problems where it is wrong."""
     try:
--- a/stepknot/cli/scale_command.py
+++ b/stepknot/cli/scale_command.py
@@ -16,6 +16,7 @@
     EXIT_UNHEALTHY,
     Duration,
     fail,
+    out_option,
     print_progress,
     seed_option,
 )
@@ -119,13 +120,7 @@
     help="Bytes a second that a member may send.  "
     "[default: membership's own, scaled to the heartbeat interval]",
 )
-@click.option(
-    "--out",
-    type=click.Path(path_type=Path),
-    default=Path("scale-out"),
-    show_default=True,
-    help="Folder for records, logs and settings.",
-)
+@out_option("scale-out")
 @click.option(
     "--json",
     "json_file",
--- a/stepknot/cli/trial_commands.py
+++ b/stepknot/cli/trial_commands.py
@@ -16,6 +16,7 @@
     Address,
     config_argument,
     fail,
+    out_option,
     print_progress,
     read_config,
     seed_option,
@@ -185,13 +186,7 @@
     "fault-day", cls=Command, examples=["stepknot fault-day --seconds 20 --rate 60 --out /tmp/day"]
 )
 @click.argument("script", type=CONFIG_FILE, required=False)
-@click.option(
-    "--out",
-    type=click.Path(path_type=Path),
-    default=Path("day-out"),
-    show_default=True,
-    help="Folder for records, logs and settings.",
-)
+@out_option("day-out")
 @click.option("--seconds", type=float, help="Length of the day.  [default: the script's, or 30]")
 @click.option("--rate", type=float, help="Queries a second.  [default: the script's, or 40]")
 @seed_option
