--- a/stepknot/decisions/capsule.py
+++ b/stepknot/decisions/capsule.py
@@ -33,7 +33,7 @@
 class Throttle:
     """Computes with capsules: counts what is out, keeps the means, derives watermarks and waits."""
 
-    __slots__ = ("_report_fresh", "_turn", "_unknown_mean", "base_wait", "fleet")
+    __slots__ = ("_report_fresh", "_turn", "base_wait", "fleet", "unknown_mean")
 
     def __init__(self, turn: Turn) -> None:
         self._turn = turn
@@ -41,7 +41,8 @@
         shortest_aim = min((each.aim for each in classes), default=1.0)
         self.base_wait = shortest_aim * (1 - AIM_MARGIN)  # the shortest of all classes, seconds
         self.fleet = Capsule(ServerEntry("", "", 0, ServerState.LIVE))  # means over all servers
-        self._unknown_mean = self.base_wait * UNKNOWN_MEAN_SHARE
+        # Taken for a part's mean time, in seconds, before any server has answered.
+        self.unknown_mean = self.base_wait * UNKNOWN_MEAN_SHARE
         self._report_fresh = REPORT_FRESH_SHARE * self.base_wait
 
     def joins_call(self, capsule: Capsule) -> bool:
@@ -88,21 +89,21 @@
         A server without responses is taken for the fleet. Less is left of its own mean the longer nothing
         came back: a bypassed server must come into use again.
         """
-        mean, out = self._blend(self.fleet, self._unknown_mean, 1.0)
+        mean, out = self._blend(self.fleet, self.unknown_mean, 1.0)
         mean, out = self._blend(capsule, mean, out)
         mean = max(mean, EPSILON)
         return mean, mean / out
 
     def fleet_pace(self) -> float:
         """The pace of all servers together, in seconds."""
-        mean, out = self._blend(self.fleet, self._unknown_mean, 1.0)
+        mean, out = self._blend(self.fleet, self.unknown_mean, 1.0)
         return max(mean, EPSILON) / out
 
     def _blend(self, capsule: Capsule, mean: float, out: float) -> tuple[float, float]:
         """Move a mean time and a mean number out towards a capsule's, by the confidence in it."""
         if not capsule.responses:
             return mean, out
-        weight = math.exp2((capsule.last_response_at - self._turn.now) / HALF_LIFE)
+        weight = self.confidence(capsule)
         return mean + weight * (capsule.mean_time - mean), out + weight * (capsule.mean_out - out)
 
     def record_response(self, capsule: Capsule, elapsed: float, out: float, weight: float) -> None:
--- a/stepknot/decisions/outlier_detection.py
+++ b/stepknot/decisions/outlier_detection.py
@@ -33,11 +33,15 @@
 
 
 def _with_sample(
-    found: DecayingShare | None, is_lost: bool, now: float, half_life: float
+    found: DecayingShare | None,
+    is_lost: bool,
+    now: float,
+    half_life: float,
+    weight: float = SERVER_SAMPLE_WEIGHT,
 ) -> DecayingShare:
     """The share after one more part that was lost or came back."""
     share = _present_share(found, now, half_life)
-    return DecayingShare(share + SERVER_SAMPLE_WEIGHT * (is_lost - share), now)
+    return DecayingShare(share + weight * (is_lost - share), now)
 
 
 class UnresponsiveServers:
@@ -84,9 +88,10 @@
         """
         capsule, class_name = attempt.capsule, attempt.query.query_class.name
         if not is_lost or capsule.latest_answered_send > attempt.sent_at:
-            share = self.share(capsule, class_name)
-            share += CLASS_SAMPLE_WEIGHT * (is_lost - share)
-            capsule.class_losses[class_name] = DecayingShare(share, self._turn.now)
+            known = capsule.class_losses.get(class_name)
+            capsule.class_losses[class_name] = _with_sample(
+                known, is_lost, self._turn.now, HALF_LIFE, CLASS_SAMPLE_WEIGHT
+            )
 
     def fails_class(self, capsule: Capsule, class_name: str) -> bool:
         """Whether it loses this class while it answers another."""
--- a/stepknot/decisions/slow_start.py
+++ b/stepknot/decisions/slow_start.py
@@ -10,7 +10,7 @@
 import math
 from collections.abc import Container
 
-from stepknot.decisions.capsule import SERVER_SAMPLE_WEIGHT, UNKNOWN_MEAN_SHARE, Throttle
+from stepknot.decisions.capsule import SERVER_SAMPLE_WEIGHT, Throttle
 from stepknot.decisions.records import Capsule, ColdQuota, WorkEstimate
 from stepknot.decisions.turn import Turn
 from stepknot.interface import InstancesCounted
@@ -29,7 +29,7 @@
 
     def __init__(self, turn: Turn, throttle: Throttle) -> None:
         self._turn = turn
-        self._default_work = throttle.base_wait * UNKNOWN_MEAN_SHARE
+        self._default_work = throttle.unknown_mean
         self.began_at = math.inf  # this aggregator's first turn
         self.instances = turn.settings.instances  # that may be there: they share a cold server
         self.quotas: dict[str, ColdQuota] = {}  # by server
