--- a/bench/mixed_fleet.py
+++ b/bench/mixed_fleet.py
@@ -68,7 +68,10 @@
 
 
 def command(checkout: Path, *words: str) -> str:
-    """Run `stepknot` of a checkout and return what it prints; exit code 1 is an answer, too."""
+    """Run `stepknot` of a checkout and return what it prints; exit code 1 is an answer, too.
+
+    Commands and options have their earlier names here: every version knows them.
+    """
     done = subprocess.run(
         [sys.executable, "-m", "stepknot", *words],
         capture_output=True,
--- a/stepknot/broker/admission_list_file.py
+++ b/stepknot/broker/admission_list_file.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-import os
 from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
 
 from stepknot.admission.access_lists import AccessLists
 from stepknot.admission.errors import SnapshotDamagedError
+from stepknot.broker.durable_file import replace_file
 
 
 class AdmissionListFile:
@@ -37,16 +37,11 @@
             return AccessLists()
 
     def save(self, lists: AccessLists) -> None:
-        """Write beside the snapshot and rename over it: a broker that dies meanwhile leaves the one before.
+        """Replace the snapshot: a broker that dies meanwhile leaves the one before.
 
         Raises:
             OSError: The file cannot be written.
         """
         if not self.path:
             return
-        new = Path(f"{self.path}.new")
-        with new.open("wb") as file:
-            file.write(lists.dump())
-            file.flush()
-            os.fsync(file.fileno())
-        new.replace(self.path)
+        replace_file(Path(self.path), Path(f"{self.path}.new"), lists.dump())
--- a/stepknot/broker/voter_store.py
+++ b/stepknot/broker/voter_store.py
@@ -20,6 +20,7 @@
 
 import msgspec
 
+from stepknot.broker.durable_file import replace_file
 from stepknot.leases.errors import DamagedVoterStateError, VoterStateMismatchError
 from stepknot.leases.messages import VoterState
 
@@ -128,12 +129,7 @@
         Raises:
             OSError: It cannot be written; the file is the one before.
         """
-        new_path = self.path.with_suffix(".new")
-        with new_path.open("wb") as file:
-            file.write(data)
-            file.flush()
-            os.fsync(file.fileno())
-        new_path.replace(self.path)
+        replace_file(self.path, self.path.with_suffix(".new"), data)
         folder = os.open(self.folder, os.O_RDONLY)
         try:
             os.fsync(folder)
