--- a/stepknot/broker/attempt_tracker.py
+++ b/stepknot/broker/attempt_tracker.py
@@ -6,6 +6,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 from functools import partial
+from typing import TYPE_CHECKING
 
 from stepknot import interface as api
 from stepknot.broker.query import Attempt, Query, QueryPart
@@ -13,7 +14,9 @@
 from stepknot.net.loop import Loop
 from stepknot.nodes.codec import PartReply
 from stepknot.nodes.transport import Load, NodeTransport
-from stepknot.zones.failover import ZoneFailover
+
+if TYPE_CHECKING:  # its package is loaded only where zones are configured
+    from stepknot.zones.failover import ZoneFailover
 
 ENDED_COUNTERS = {outcome: f"ended_{outcome.name.lower()}" for outcome in api.Outcome}
 
--- a/stepknot/broker/core.py
+++ b/stepknot/broker/core.py
@@ -12,7 +12,7 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from stepknot import interface as api
 from stepknot.broker.aggregator_timers import AggregatorTimers
@@ -23,7 +23,9 @@
 from stepknot.decisions import Aggregator
 from stepknot.net.loop import Loop
 from stepknot.nodes.transport import Load, NodeTransport
-from stepknot.zones.failover import ZoneFailover
+
+if TYPE_CHECKING:  # its package is loaded only where zones are configured
+    from stepknot.zones.failover import ZoneFailover
 
 
 def _no_watch() -> None:
--- a/stepknot/broker/zone_change_log.py
+++ b/stepknot/broker/zone_change_log.py
@@ -5,8 +5,10 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import asdict
+from typing import TYPE_CHECKING
 
-from stepknot.zones.failover import ZoneFailover
+if TYPE_CHECKING:  # its package is loaded only where zones are configured
+    from stepknot.zones.failover import ZoneFailover
 
 
 class ZoneChangeLog:
--- a/tests/config/test_membership.py
+++ b/tests/config/test_membership.py
@@ -148,6 +148,6 @@
 def test_the_platforms_broker_does_not_load_membership() -> None:
     code = (
         "import sys, stepknot.platform.__main__, stepknot.platform.service; "
-        "sys.exit(any('peer' in name for name in sys.modules))"
+        "sys.exit(any('membership' in name for name in sys.modules))"
     )
     assert subprocess.run([sys.executable, "-c", code], timeout=30).returncode == 0
--- a/tests/platform/test_service.py
+++ b/tests/platform/test_service.py
@@ -27,7 +27,16 @@
 from tests.broker.scripted import WAIT, Answer, Client, until
 from tests.platform.world import Call, Discovery, Node, free_port, profile, request, row
 
-HEAVY = ("click", "structlog", "prometheus_client", "graphql", "hcl2", "asyncio")
+HEAVY = (
+    "click",
+    "structlog",
+    "prometheus_client",
+    "graphql",
+    "hcl2",
+    "asyncio",
+    "msgspec",
+    "stepknot.zones.failover",
+)
 
 
 class Process:
