--- a/bench/planted_defects/decisions.py
+++ b/bench/planted_defects/decisions.py
@@ -5,16 +5,16 @@
 DEFECTS = [
     PlantedDefect(
         path="stepknot/decisions/endpoint_list.py",
-        original="pause = (self._turn.settings.rules.ask_within or math.inf) * WATCH_RETRY_SHARE",
-        replacement="pause = self._turn.settings.rules.ask_within * WATCH_RETRY_SHARE",
+        original="delay = (self._turn.settings.rules.ask_within or math.inf) * WATCH_RETRY_SHARE",
+        replacement="delay = self._turn.settings.rules.ask_within * WATCH_RETRY_SHARE",
         tests=(
             "tests/platform/test_discovery.py::test_timeouts_of_the_watch_add_up_to_less_than_the_propagation_delay",
         ),
     ),
     PlantedDefect(
         path="stepknot/decisions/slow_start.py",
-        original="left + cost * quota.draw >= cost",
-        replacement="left + cost >= cost",
+        original="remaining + cost * quota.draw >= cost",
+        replacement="remaining + cost >= cost",
         tests=("tests/decisions/test_slow_start.py",),
         invariant="4",
     ),
@@ -36,7 +36,7 @@
     ),
     PlantedDefect(
         path="stepknot/decisions/dispatch.py",
-        original="return since + kind.repeat_window",
+        original="return since + query_class.repeat_window",
         replacement="return math.inf",
         tests=("tests/decisions/test_rules.py",),
         invariant="2",
@@ -51,7 +51,7 @@
     ),
     PlantedDefect(
         path="stepknot/decisions/outlier_detection.py",
-        original="if not is_lost or capsule.latest_answered_send > attempt.sent_at:",
+        original="if not is_lost or capsule.latest_served_sent_at > attempt.sent_at:",
         replacement="if True:",
         tests=(
             "tests/decisions/test_outlier_detection.py::test_pause_is_not_taken_for_a_lost_class",
@@ -94,7 +94,7 @@
     ),
     PlantedDefect(
         path="stepknot/decisions/answers.py",
-        original="need = 1.0 if is_second else kind.need",
+        original="need = 1.0 if is_second else query_class.need",
         replacement="need = 0.0",
         tests=(
             "tests/decisions/test_answers.py::test_answer_is_partial_under_need_and_complete_over_it",
@@ -103,7 +103,7 @@
     ),
     PlantedDefect(
         path="stepknot/decisions/answers.py",
-        original="if query.parts and served_weight(query) >= kind.floor - EPSILON:",
+        original="if query.parts and served_weight(query) >= query_class.floor - EPSILON:",
         replacement="if query.parts:",
         tests=(
             "tests/decisions/test_answers.py::test_query_that_cannot_reach_its_floor_ends_at_once",
@@ -112,7 +112,7 @@
     ),
     PlantedDefect(
         path="stepknot/decisions/answers.py",
-        original="elif kind.effect is Effect.SAFE or all(",
+        original="elif query_class.effect is Effect.SAFE or all(",
         replacement="elif True or all(",
         tests=(
             "tests/decisions/test_answers.py::test_unsafe_query_that_may_have_run_is_failed_not_rejected",
@@ -121,8 +121,8 @@
     ),
     PlantedDefect(
         path="stepknot/decisions/retries.py",
-        original="return kind.effect is Effect.KEYED and self._turn.now < window_end",
-        replacement="return kind.effect is Effect.KEYED",
+        original="return query_class.effect is Effect.KEYED and self._turn.now < window_end",
+        replacement="return query_class.effect is Effect.KEYED",
         tests=(
             "tests/decisions/test_retries.py::test_keyed_part_is_retried_within_its_repeat_window_only",
         ),
@@ -165,13 +165,13 @@
     ),
     PlantedDefect(
         path="stepknot/decisions/capsule.py",
-        original="if wait >= expected and left >= MIN_MEANS_LEFT * expected:",
+        original="if wait >= expected and left >= MIN_TIME_LEFT_IN_MEANS * expected:",
         replacement="if wait >= expected:",
         tests=("tests/decisions/test_capsule.py::test_query_with_too_few_means_left_is_rejected",),
     ),
     PlantedDefect(
         path="stepknot/decisions/selection.py",
-        original="count += PROBE_OUT_WEIGHT * capsule.probe_out",
+        original="count += PENDING_PROBE_WEIGHT * capsule.is_probe_pending",
         replacement="pass",
         tests=(
             "tests/decisions/test_health.py::test_replica_that_reports_a_queue_is_better_than_one_that_does_not_answer",
@@ -179,8 +179,8 @@
     ),
     PlantedDefect(
         path="stepknot/decisions/health.py",
-        original="hold = max(FAILURE_HOLD * base_wait, FAILURE_HOLD_GAPS * capsule.send_gap)",
-        replacement="hold = FAILURE_HOLD * base_wait",
+        original="memory_time = max(FAILURE_MEMORY_WAITS * base_wait, FAILURE_MEMORY_GAPS * capsule.send_gap)",
+        replacement="memory_time = FAILURE_MEMORY_WAITS * base_wait",
         tests=("tests/decisions/test_health.py::test_failure_is_held_longer_where_sends_are_rare",),
     ),
     PlantedDefect(
--- a/stepknot/decisions/aggregator.py
+++ b/stepknot/decisions/aggregator.py
@@ -1,4 +1,4 @@
-"""The aggregator: events in, actions out. Settings, events and actions: `stepknot/interface.py`."""
+"""The aggregator: takes events and returns actions. Settings, events, actions: `stepknot/interface.py`."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
 
 
 class Aggregator:
-    """One instance. It shares nothing and knows no time except that of the calls of `handle`.
+    """One instance. It shares no state with others, and its only clock is the time passed to `handle`.
 
     Args:
-        settings: What the deployment says.
-        seed: Of the generator from which all chance is drawn.
-        narrow: The caller's rule on a part's candidates, if there is one.
+        settings: The deployment's settings.
+        seed: Seed of the random generator, the only source of randomness.
+        narrow: The caller's rule that restricts a part's candidates, if there is one.
     """
 
     def __init__(self, settings: Settings, seed: int, narrow: Narrow | None = None) -> None:
@@ -85,7 +85,7 @@
 
     @property
     def queries(self) -> dict[int, Query]:
-        """The queries without a final answer, by number."""
+        """The queries that have no final answer yet, by number."""
         return self.answers.queries
 
     @property
@@ -94,14 +94,15 @@
         return self.dispatcher.in_flight
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
-        """Take events that happened at a time; returns the actions to be carried out in their order."""
+        """Process events that happened at time `now`; returns the actions, to be carried out in order."""
         turn = self.turn
         turn.begin(now)
         self.slow_start.began_at = min(self.slow_start.began_at, now)
         self.outliers.shared_faults.begin_turn()
         if turn.number == 1 and turn.settings.must_ask:
             self.endpoints.watch()
-        # Timers come last: after a stall, answers that came meanwhile are not taken for silence.
+        # Timers run last: answers that arrived during a stall of this process must be processed before a
+        # timer treats their attempts as unanswered.
         timers_due: list[TimerDue] = []
         handlers = self._handlers
         for event in events:
--- a/stepknot/decisions/answers.py
+++ b/stepknot/decisions/answers.py
@@ -1,7 +1,7 @@
 """Answer assembly: queries from their arrival to the final answer. Types: `stepknot/interface.py`.
 
-At the end of its wait a query is answered from what came, complete or not. A rejection is given only where
-to repeat the query is harmless.
+At the end of its wait a query is answered from the parts that were served, whether they are complete or not.
+A query is rejected only where repeating it is harmless.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
     Refuse,
 )
 
-# Share of the base wait that is kept for a second step, which has fewer and lighter parts.
+# Share of the base wait that is reserved for a second step, which has fewer and lighter parts.
 SECOND_STEP_SHARE = 0.4
-ANSWER_GUARD_TICKS = 4  # a final answer is given so many ticks before the client's time is over
+ANSWER_GUARD_TICKS = 4  # ticks between the latest final answer and the client's deadline
 
 
 def served_weight(query: Query) -> float:
-    """The weight of the present step's parts that were served."""
+    """The total weight of the current step's parts that were served."""
     return sum([part.weight for part in query.parts if part.is_served])
 
 
 def reachable_weight(query: Query) -> float:
-    """The weight of the present step's parts that were served or are out."""
-    return sum([part.weight for part in query.parts if part.is_served or part.attempts_out])
+    """The total weight of the current step's parts that were served or have an attempt in flight."""
+    return sum([part.weight for part in query.parts if part.is_served or part.attempts_in_flight])
 
 
 class AnswerAssembly:
@@ -56,23 +56,23 @@
         self._turn, self._timers, self._throttle = turn, timers, throttle
         self._dispatcher, self._budget = dispatcher, budget
         self.queries: dict[int, Query] = {}  # by number
-        self.unplaced: dict[int, Query] = {}  # those with parts that have not been placed
+        self.unplaced: dict[int, Query] = {}  # by number, those with parts that have not been placed
 
     def on_query(self, event: QueryArrived) -> None:
-        """Take a query; one of an unknown class is rejected, as nothing is known of its effect."""
-        self._budget.note_arrival()
-        kind = self._turn.settings.classes.get(event.class_name)
-        if kind is None:
+        """Accept a query; one of an unknown class is rejected, because its effect is unknown."""
+        self._budget.record_arrival()
+        query_class = self._turn.settings.classes.get(event.class_name)
+        if query_class is None:
             self._turn.actions.append(Refuse(event.query_id))
             return
         answer_by = event.deadline - ANSWER_GUARD_TICKS * self._turn.settings.tick
-        query = Query(event.query_id, event.number, kind, self._turn.now, answer_by)
+        query = Query(event.query_id, event.number, query_class, self._turn.now, answer_by)
         self.queries[event.number] = self.unplaced[event.number] = query
-        self._set_wait(query, 1 - SECOND_STEP_SHARE if kind.second_step_parts else 1.0)
+        self._set_wait(query, 1 - SECOND_STEP_SHARE if query_class.second_step_parts else 1.0)
 
     def on_part(self, event: PartArrived) -> None:
-        """Take a part of a query; it is placed at the end of the turn."""
-        self._budget.note_arrival()
+        """Add a part to its query; the part is placed at the end of the turn."""
+        self._budget.record_arrival()
         query = self.queries.get(event.number)
         if query is not None:
             query.parts.append(Part(event.part_id, event.shard, event.weight))
@@ -85,10 +85,10 @@
             self._end(query)
 
     def _set_wait(self, query: Query, share: float) -> None:
-        """Set the end of the wait to this share of the base wait, never past the time left."""
+        """Set the end of the wait to this share of the base wait, at most to the query's `answer_by`."""
         base_wait = query.query_class.aim * (1 - AIM_MARGIN) * share
         query.wait_end = min(query.arrived_at + base_wait, query.answer_by)
-        is_over = query.wait_end <= self._turn.now  # in the second step after a late first one
+        is_over = query.wait_end <= self._turn.now  # true for a second step after a late first one
         if is_over and query.query_class.late_value:
             query.wait_end = query.answer_by
         self._timers.set(query.wait_end, partial(self._on_wait_end, query))
@@ -97,39 +97,44 @@
         is_waiting = query.number in self.queries and query.number not in self.unplaced
         if not is_waiting or self._turn.now < query.wait_end - EPSILON:
             return
-        kind, floor = query.query_class, query.query_class.floor - EPSILON
+        query_class, floor = query.query_class, query.query_class.floor - EPSILON
         is_late = served_weight(query) < floor <= reachable_weight(query)
-        if is_late and kind.late_value and self._turn.now < query.answer_by - EPSILON:
-            # What is out may still make a late answer; a client that asks again would get no better one.
+        if is_late and query_class.late_value and self._turn.now < query.answer_by - EPSILON:
+            # The attempts in flight may still complete a late answer. A client that retried instead would get
+            # no better one.
             query.wait_end, query.is_late = query.answer_by, True
             self._timers.set(query.answer_by, partial(self._on_wait_end, query))
         else:
             self.conclude(query)
 
     def on_part_ended(self, query: Query) -> None:
-        """Conclude a query that is decided: complete, late and good enough, or without hope."""
+        """Conclude a query whose outcome is decided.
+
+        That is a query with no attempt left in flight, a late one that has reached its floor, or one that can
+        no longer reach its floor.
+        """
         floor = query.query_class.floor - EPSILON
-        is_hopeless = reachable_weight(query) < floor  # nothing more is spent on it
-        is_enough = query.is_late and served_weight(query) >= floor
+        is_floor_unreachable = reachable_weight(query) < floor  # further work for it would be wasted
+        is_late_but_enough = query.is_late and served_weight(query) >= floor
         if (
-            is_hopeless
-            or is_enough
-            or all(part.is_served or not part.attempts_out for part in query.parts)
+            is_floor_unreachable
+            or is_late_but_enough
+            or all(part.is_served or not part.attempts_in_flight for part in query.parts)
         ):
             self.conclude(query)
 
     def conclude(self, query: Query) -> None:
-        """Answer from what came; otherwise reject where that is harmless, or fail."""
-        kind = query.query_class
-        if query.parts and served_weight(query) >= kind.floor - EPSILON:
+        """Answer if the parts served reach the floor; else reject if a repeat is harmless, or fail."""
+        query_class = query.query_class
+        if query.parts and served_weight(query) >= query_class.floor - EPSILON:
             is_second = bool(query.first_parts)
-            need = 1.0 if is_second else kind.need
+            need = 1.0 if is_second else query_class.need
             is_complete = query.first_complete and served_weight(query) >= need - EPSILON
             self._turn.actions.append(Answer(query.query_id, is_complete))
-            if kind.second_step_parts and not is_second:
+            if query_class.second_step_parts and not is_second:
                 self._begin_second_step(query, is_complete)
                 return
-        elif kind.effect is Effect.SAFE or all(
+        elif query_class.effect is Effect.SAFE or all(
             part.may_run_since is None for part in query.parts + query.first_parts
         ):
             self._turn.actions.append(Refuse(query.query_id, self._retry_after(query)))
@@ -144,10 +149,11 @@
         self._set_wait(query, 1.0)
 
     def _retry_after(self, query: Query) -> float:
-        """When the client of a rejected query may come back, in seconds.
+        """Seconds after which the client of a rejected query may retry.
 
-        By then a server at beta has come down to alpha; a client that is back sooner would be rejected again.
-        With the aim over, a client that is back only adds to the load: the longest advice that is followed.
+        This is the time in which a server at beta drains to alpha; a client that retried sooner would be
+        rejected again. Once the latency objective has passed, a retry only adds load, so the advice is
+        `max_retry_after`, the longest time that clients follow.
         """
         limits, base_wait = self._turn.settings.limits, self._throttle.base_wait
         if not limits.retry_after:
@@ -164,7 +170,7 @@
         self.unplaced.pop(query.number, None)
 
     def _cancel(self, query: Query) -> None:
-        """Cancel what is still out: its answer would serve nothing."""
+        """Cancel the attempts in flight of the current step: their answers are of no more use."""
         if self._turn.settings.limits.cancelling:
             in_flight = self._dispatcher.in_flight
             for part in query.parts:
--- a/stepknot/decisions/capsule.py
+++ b/stepknot/decisions/capsule.py
@@ -1,8 +1,9 @@
-"""The capsule of each server: n, its recent mean response time, the watermarks and the wait of a part.
+"""Computations on a server's capsule: n, mean response time, watermarks, the wait of a part.
 
-After "Dependency Capsules: Isolating Dependencies in Thread-Based Multi-Tier Internet Services", section IV.
-The base wait t of a class is its aim less a margin. A part waits t, or less once n exceeds alpha; at beta it
-is not sent. It is bypassed where its wait is shorter than the server's mean. Types: `stepknot/interface.py`.
+They follow "Dependency Capsules: Isolating Dependencies in Thread-Based Multi-Tier Internet Services",
+section IV. The base wait t of a class is its latency objective (`aim`) minus a margin. A part waits for t, or
+for less once n exceeds alpha; at beta it is not sent. A part is bypassed if its wait is shorter than the
+server's mean response time. Types: `stepknot/interface.py`.
 """
 
 from __future__ import annotations
@@ -13,53 +14,57 @@
 from stepknot.decisions.turn import EPSILON, Turn
 from stepknot.interface import ServerEntry, ServerState
 
-# Beta is what a server is seen to finish within this share of the shortest base wait of all classes: a queue
-# that the most hurried class can bear. The rest is for the spread of work.
+# Beta is the number of calls that a server finishes, at its recent rate, within this fraction of the shortest
+# base wait of all classes. A queue of that length is acceptable to the class with the shortest objective; the
+# rest of the wait allows for the variation of work between calls.
 BETA_SHARE = 0.65
-MIN_BETA = 2.0  # also of a server that was seen to be very slow: with nothing out nothing is learnt
-# Of beta. From here on the wait shrinks. Queries that need all parts are rejected from beta on.
+# Lower bound of beta, also for a very slow server: a server that gets no parts gives no new measurements.
+MIN_BETA = 2.0
+# Alpha as a fraction of beta. The wait shrinks above alpha. Queries that need all parts keep their full wait
+# and are rejected at beta.
 ALPHA_SHARE = 0.8
-# Means of time left, below which a part is bypassed: clients that give up early waste the work.
-MIN_MEANS_LEFT = 1.5
-AIM_MARGIN = 0.05  # share of the aim kept for the way to the client; the base wait is the rest
-UNKNOWN_MEAN_SHARE = 0.1  # mean time, in shortest base waits, before any server has answered
-SERVER_SAMPLE_WEIGHT = 0.2  # of a response in its server's mean
-FLEET_SAMPLE_WEIGHT = 0.05  # of a response in the mean of all servers
-HALF_LIFE = 5.0  # seconds in which half of a mean is forgotten
-REPORT_WEIGHT = 0.5  # of what a load report says: it may be late, noisy, frozen or wrong
-REPORT_FRESH_SHARE = 0.5  # of the shortest base wait: so long a load report counts
+# A part is bypassed if the time left is less than this many mean response times: clients that give up early
+# waste the work.
+MIN_TIME_LEFT_IN_MEANS = 1.5
+AIM_MARGIN = 0.05  # fraction of `aim` reserved for the way to the client; the base wait is the rest
+INITIAL_MEAN_SHARE = 0.1  # mean response time before any response, as a fraction of the shortest base wait
+SERVER_SAMPLE_WEIGHT = 0.2  # weight of one response in its server's mean
+FLEET_SAMPLE_WEIGHT = 0.05  # weight of one response in the mean of all servers
+HALF_LIFE = 5.0  # seconds without a response after which a mean has half of its weight
+REPORT_WEIGHT = 0.5  # weight of the value in a load report, which may be late, noisy, frozen or wrong
+MAX_REPORT_AGE_SHARE = 0.5  # maximum age of a load report, as a fraction of the shortest base wait
 
 
 class Throttle:
-    """Computes with capsules: counts what is out, keeps the means, derives watermarks and waits."""
+    """Counts the calls in flight to each server, updates the means, and derives watermarks and waits."""
 
-    __slots__ = ("_report_fresh", "_turn", "base_wait", "fleet", "unknown_mean")
+    __slots__ = ("_max_report_age", "_turn", "base_wait", "fleet", "initial_mean")
 
     def __init__(self, turn: Turn) -> None:
         self._turn = turn
         classes = turn.settings.classes.values()
         shortest_aim = min((each.aim for each in classes), default=1.0)
-        self.base_wait = shortest_aim * (1 - AIM_MARGIN)  # the shortest of all classes, seconds
+        self.base_wait = shortest_aim * (1 - AIM_MARGIN)  # the shortest of all classes, in seconds
         self.fleet = Capsule(ServerEntry("", "", 0, ServerState.LIVE))  # means over all servers
-        # Taken for a part's mean time, in seconds, before any server has answered.
-        self.unknown_mean = self.base_wait * UNKNOWN_MEAN_SHARE
-        self._report_fresh = REPORT_FRESH_SHARE * self.base_wait
+        # The assumed mean response time before any server has answered, in seconds.
+        self.initial_mean = self.base_wait * INITIAL_MEAN_SHARE
+        self._max_report_age = MAX_REPORT_AGE_SHARE * self.base_wait
 
     def joins_call(self, capsule: Capsule) -> bool:
-        """Whether a further part joins a call that was formed in this turn."""
+        """Whether a further part joins a call that was created in this turn."""
         call = capsule.last_call
         return (
             call.turn == self._turn.number
-            and call.parts_out > 0
+            and call.parts_in_flight > 0
             and call.parts < self._turn.settings.parts_per_call
         )
 
     def n(self, capsule: Capsule) -> int:
-        """The calls out, less one formed in this turn that a further part joins."""
+        """The number of calls in flight, without a call of this turn that a further part would join."""
         return len(capsule.calls) - self.joins_call(capsule)
 
-    def count_out(self, capsule: Capsule) -> Call:
-        """Count one more part out; returns the call in which it travels."""
+    def add_part(self, capsule: Capsule) -> Call:
+        """Count one more part as in flight; returns the call that carries it."""
         if self.joins_call(capsule):
             call = capsule.last_call
         else:
@@ -68,83 +73,98 @@
             capsule.send_gap = max(gap, 0.0)
             capsule.calls.add(call)
         call.parts += 1
-        call.parts_out += 1
+        call.parts_in_flight += 1
         return call
 
     def release(self, capsule: Capsule, call: Call) -> None:
-        """Count one part of a call as no longer out."""
-        call.parts_out -= 1
-        if not call.parts_out:
+        """Count one part of a call as no longer in flight."""
+        call.parts_in_flight -= 1
+        if not call.parts_in_flight:
             capsule.calls.discard(call)
 
     def confidence(self, capsule: Capsule) -> float:
-        """How much is left of the means, 0 to 1: half after each `HALF_LIFE` without a response."""
+        """The weight of a capsule's means, 0 to 1: it halves with each `HALF_LIFE` without a response."""
         if not capsule.responses:
             return 0.0
         return math.exp2((capsule.last_response_at - self._turn.now) / HALF_LIFE)
 
     def estimate(self, capsule: Capsule) -> tuple[float, float]:
-        """A server's recent mean time, and its pace: the mean time for each part that was out.
+        """A server's recent mean response time and its response interval.
 
-        A server without responses is taken for the fleet. Less is left of its own mean the longer nothing
-        came back: a bypassed server must come into use again.
+        The response interval is the mean time between two responses of the server: the mean response time
+        divided by the mean number of parts in flight. A server without responses has the means of the fleet.
+        Its own means lose weight while it sends no responses, so that a bypassed server is used again.
         """
-        mean, out = self._blend(self.fleet, self.unknown_mean, 1.0)
-        mean, out = self._blend(capsule, mean, out)
+        mean, in_flight = self._blend(self.fleet, self.initial_mean, 1.0)
+        mean, in_flight = self._blend(capsule, mean, in_flight)
         mean = max(mean, EPSILON)
-        return mean, mean / out
+        return mean, mean / in_flight
 
-    def fleet_pace(self) -> float:
-        """The pace of all servers together, in seconds."""
-        mean, out = self._blend(self.fleet, self.unknown_mean, 1.0)
-        return max(mean, EPSILON) / out
+    def fleet_response_interval(self) -> float:
+        """The response interval by the means of all servers, in seconds."""
+        mean, in_flight = self._blend(self.fleet, self.initial_mean, 1.0)
+        return max(mean, EPSILON) / in_flight
 
-    def _blend(self, capsule: Capsule, mean: float, out: float) -> tuple[float, float]:
-        """Move a mean time and a mean number out towards a capsule's, by the confidence in it."""
+    def _blend(self, capsule: Capsule, mean: float, in_flight: float) -> tuple[float, float]:
+        """Move a mean time and a mean number in flight towards those of a capsule, by their confidence."""
         if not capsule.responses:
-            return mean, out
+            return mean, in_flight
         weight = self.confidence(capsule)
-        return mean + weight * (capsule.mean_time - mean), out + weight * (capsule.mean_out - out)
+        return mean + weight * (capsule.mean_time - mean), in_flight + weight * (
+            capsule.mean_in_flight - in_flight
+        )
+
+    def record_response(
+        self, capsule: Capsule, elapsed: float, in_flight: float, weight: float
+    ) -> None:
+        """Update a capsule's moving averages with a response time and the number then in flight.
 
-    def record_response(self, capsule: Capsule, elapsed: float, out: float, weight: float) -> None:
-        """Take a response time into the means, by this weight or as one of the first few."""
+        The first few responses count equally; later ones have the given weight.
+        """
         capsule.responses += 1
         capsule.last_response_at = self._turn.now
         weight = max(weight, 1 / capsule.responses)
         capsule.mean_time += weight * (elapsed - capsule.mean_time)
-        capsule.mean_out += weight * (out - capsule.mean_out)
+        capsule.mean_in_flight += weight * (in_flight - capsule.mean_in_flight)
 
-    def others_out(self, capsule: Capsule) -> float:
-        """What other aggregators have out there: by its load report while fresh, else as at others."""
-        if self._turn.now - capsule.reported_at < self._report_fresh:
-            return REPORT_WEIGHT * capsule.others
-        return REPORT_WEIGHT * self.confidence(self.fleet) * self.fleet.others
+    def others_in_flight(self, capsule: Capsule) -> float:
+        """The number of parts that other aggregators have in flight at a server, as far as it is counted.
+
+        It comes from the server's load report while that is recent, else from the mean of all servers.
+        """
+        if self._turn.now - capsule.reported_at < self._max_report_age:
+            return REPORT_WEIGHT * capsule.reported_others
+        return REPORT_WEIGHT * self.confidence(self.fleet) * self.fleet.reported_others
 
     def part_wait(
-        self, query: Query, capsule: Capsule, share: float = 1.0, is_trial: bool = False
+        self, query: Query, capsule: Capsule, beta_factor: float = 1.0, is_trial: bool = False
     ) -> float:
-        """How long a part may wait for this server: 0 at the bound, and for a part to be bypassed.
+        """Seconds for which a part may wait for this server; 0 if the server is at beta or is bypassed.
 
         Args:
             query: The part's query.
-            capsule: The server's.
-            share: Factor on beta.
-            is_trial: Whether a server that has been idle may get a part whatever its mean.
+            capsule: The server's capsule.
+            beta_factor: Factor applied to beta.
+            is_trial: Whether an idle server may get a part whatever its mean response time.
         """
-        left = query.wait_end - self._turn.now
-        if query.first_parts:  # never shed: the work of the first step would be for nothing
-            return left
-        mean, pace = self.estimate(capsule)
-        beta = max(MIN_BETA, BETA_SHARE * self.base_wait / pace * query.priority) * share
+        time_left = query.wait_end - self._turn.now
+        if query.first_parts:  # a second step is never shed: the first step's work would be wasted
+            return time_left
+        mean, response_interval = self.estimate(capsule)
+        beta = (
+            max(MIN_BETA, BETA_SHARE * self.base_wait / response_interval * query.priority)
+            * beta_factor
+        )
         alpha = ALPHA_SHARE * beta
-        out = self.n(capsule) + self.others_out(capsule)
-        wait = left if out < beta else 0.0
-        if out > alpha and not query.query_class.all_parts:
-            wait = max(0.0, left * (beta - out) / (beta - alpha))
-        # Its mean, or less with less out than at that time: a server that had a queue is not a slow one.
-        expected = min(mean, pace * (out + 1))
-        if wait >= expected and left >= MIN_MEANS_LEFT * expected:
+        in_flight = self.n(capsule) + self.others_in_flight(capsule)
+        wait = time_left if in_flight < beta else 0.0
+        if in_flight > alpha and not query.query_class.all_parts:
+            wait = max(0.0, time_left * (beta - in_flight) / (beta - alpha))
+        # The expected response time is below the mean if fewer parts are in flight now than when the mean was
+        # measured: a server that had a queue is not a slow server.
+        expected = min(mean, response_interval * (in_flight + 1))
+        if wait >= expected and time_left >= MIN_TIME_LEFT_IN_MEANS * expected:
             return wait
-        # A server with nothing out for a shortest base wait has worked off what made it slow.
-        is_idle = out < 1 and self._turn.now - capsule.last_used_at >= self.base_wait
-        return left if is_trial and is_idle else 0.0
+        # A server that has been idle for the shortest base wait has emptied the queue that made it slow.
+        is_idle = in_flight < 1 and self._turn.now - capsule.last_used_at >= self.base_wait
+        return time_left if is_trial and is_idle else 0.0
--- a/stepknot/decisions/dispatch.py
+++ b/stepknot/decisions/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch of attempts: plan one at a server with its wait, and send it. Types: `stepknot/interface.py`."""
+"""Dispatch: chooses server and wait of each attempt, and sends it. Types: `stepknot/interface.py`."""
 
 from __future__ import annotations
 
@@ -39,41 +39,43 @@
         self._turn, self._throttle, self._slow_start = turn, throttle, slow_start
         self._selector, self._hedging = selector, hedging
         self._shared_faults = outliers.shared_faults
-        self.in_flight: dict[AttemptKey, Attempt] = {}  # sent and not ended
+        self.in_flight: dict[AttemptKey, Attempt] = {}  # attempts that were sent and have not ended
 
     def plan(
-        self, query: Query, part: Part, share: float = 1.0, is_trial: bool = False
+        self, query: Query, part: Part, beta_factor: float = 1.0, is_trial: bool = False
     ) -> Attempt | None:
-        """Count an attempt out, at a replica that has had none if there is one.
+        """Choose a replica for an attempt and count it as in flight there.
+
+        A replica that has had no attempt of the part is preferred.
 
         Args:
             query: The part's query.
             part: The part.
-            share: Factor on beta.
+            beta_factor: Factor applied to beta.
             is_trial: As in `Throttle.part_wait`.
 
         Returns:
-            The attempt, to be sent or withdrawn; None where the replica is at its bound or bypassed.
+            The attempt, to be sent or withdrawn; None if the replica is at beta or bypassed.
         """
         choose = self._selector.choose
-        capsule = choose(query, part.shard, part.servers, share, is_trial) or choose(
-            query, part.shard, [], share, is_trial
+        capsule = choose(query, part.shard, part.servers, beta_factor, is_trial) or choose(
+            query, part.shard, [], beta_factor, is_trial
         )
         if capsule is None:
             return None
-        wait = self._throttle.part_wait(query, capsule, share, is_trial)
+        wait = self._throttle.part_wait(query, capsule, beta_factor, is_trial)
         if wait <= 0:
             return None
-        call = self._throttle.count_out(capsule)
+        call = self._throttle.add_part(capsule)
         self._slow_start.spend(capsule, query.query_class.name)
-        out = len(capsule.calls) + self._throttle.others_out(capsule)
+        in_flight = len(capsule.calls) + self._throttle.others_in_flight(capsule)
         now = self._turn.now
         if query.query_class.late_value and wait >= query.wait_end - now - EPSILON:
-            wait = query.answer_by - now  # not shortened: still of use after the wait's end
-        return Attempt(capsule, call, part, query, out, now, wait)
+            wait = query.answer_by - now  # a part with a full wait is still of use after its end
+        return Attempt(capsule, call, part, query, in_flight, now, wait)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Take back a planned attempt, which is not sent."""
+        """Drop a planned attempt instead of sending it."""
         self._throttle.release(attempt.capsule, attempt.call)
         self._slow_start.refund(attempt.capsule)
 
@@ -84,12 +86,12 @@
         number = len(part.servers)
         key = (part.part_id, number)
         self.in_flight[key] = attempt
-        not_after = self._latest_write(attempt)
+        not_after = self._write_deadline(attempt)
         part.servers.append(server)
-        part.attempts_out += 1
+        part.attempts_in_flight += 1
         if part.may_run_since is None:
             part.may_run_since = now
-        if attempt.call.on_idle_connection and self._shared_faults.lose_idle_connections():
+        if attempt.call.on_idle_connection and self._shared_faults.should_close_idle_connections():
             attempt.call.on_idle_connection = False
             actions.append(Close(server))
         capsule.last_used_at = now
@@ -98,13 +100,13 @@
         actions.append(Send(part.part_id, server, attempt.wait, number, not_after))
         self._hedging.watch_attempt(key, attempt)
 
-    def _latest_write(self, attempt: Attempt) -> float:
-        """Until when a part may be written.
+    def _write_deadline(self, attempt: Attempt) -> float:
+        """The time after which a part must not be written to a connection.
 
-        A connection may come up late, or take nothing: the repeat window of a part that may have run can
-        close before the part is on the wire.
+        A connection may be established late or may accept no data for a while, so the repeat window of a part
+        that may have run can close before the part is written.
         """
-        kind, since = attempt.query.query_class, attempt.part.may_run_since
-        if kind.effect is not Effect.KEYED or since is None:
+        query_class, since = attempt.query.query_class, attempt.part.may_run_since
+        if query_class.effect is not Effect.KEYED or since is None:
             return math.inf
-        return since + kind.repeat_window
+        return since + query_class.repeat_window
--- a/stepknot/decisions/endpoint_list.py
+++ b/stepknot/decisions/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: a capsule for each listed server, and the live ones of a shard.
+"""The endpoint list: a capsule for each listed server, and the live replicas of each shard.
 
 Events and actions: `ListReceived` and `Watch` of `stepknot/interface.py`.
 """
@@ -13,8 +13,9 @@
 from stepknot.decisions.turn import Turn
 from stepknot.interface import ListKind, ListReceived, ServerEntry, ServerState, Watch
 
-# A broken subscription is opened again after this share of the ask-within rule, or after so many seconds:
-# with what the caller takes to see that it is broken and to open another, a change comes in time.
+# A broken subscription is reopened after this share of `ask_within`, but after at most `MAX_WATCH_RETRY`
+# seconds. The rest of `ask_within` is for the caller, which must detect the failure and open a new
+# subscription; changes then still arrive in time.
 WATCH_RETRY_SHARE = 0.25
 MAX_WATCH_RETRY = 0.5
 
@@ -27,11 +28,12 @@
     def __init__(self, turn: Turn, timers: Timers, slow_start: SlowStart) -> None:
         self._turn, self._timers, self._slow_start = turn, timers, slow_start
         self.capsules: dict[str, Capsule] = {}  # by server
-        self.by_cell: dict[int, list[Capsule]] = {}  # the live ones, by the cell of their shards
-        self._by_shard: dict[int, list[Capsule]] = {}  # derived from it on request, not changed
+        self.by_cell: dict[int, list[Capsule]] = {}  # capsules of live servers, by cell
+        # Results of `replicas`, computed from `by_cell` on request.
+        self._by_shard: dict[int, list[Capsule]] = {}
 
     def on_list(self, event: ListReceived) -> None:
-        """Take over a list or its changes; after a failure open the watch again."""
+        """Apply a list or its changes; after a failure, schedule a new watch."""
         if event.kind is ListKind.FAILED:
             self._watch_again()
             return
@@ -41,12 +43,12 @@
                 server: capsule for server, capsule in self.capsules.items() if server in listed
             }
         for entry in event.entries:
-            self._take_entry(entry)
+            self._apply_entry(entry)
         self._slow_start.forget_quotas(self.capsules)
         self._index_live()
 
-    def holders(self, shard: int) -> list[Capsule]:
-        """The live servers that hold a shard. The list must not be changed."""
+    def replicas(self, shard: int) -> list[Capsule]:
+        """The live servers that hold a shard. The caller must not change the list."""
         found = self._by_shard.get(shard)
         if found is None:
             settings = self._turn.settings
@@ -58,21 +60,22 @@
         return found
 
     def watch(self) -> None:
-        """Ask for the list's changes."""
+        """Request the list's changes."""
         self._turn.actions.append(Watch())
 
     def _watch_again(self) -> None:
-        """Discovery has a fault: ask again soon, well within the rule, and not all instances at once."""
-        pause = (self._turn.settings.rules.ask_within or math.inf) * WATCH_RETRY_SHARE
+        """Schedule a new watch well within `ask_within`, with jitter so that instances spread out."""
+        delay = (self._turn.settings.rules.ask_within or math.inf) * WATCH_RETRY_SHARE
         jitter = self._turn.random.uniform(0.5, 1.0)
-        self._timers.set(self._turn.now + min(pause, MAX_WATCH_RETRY) * jitter, self.watch)
+        self._timers.set(self._turn.now + min(delay, MAX_WATCH_RETRY) * jitter, self.watch)
 
-    def _take_entry(self, entry: ServerEntry) -> None:
+    def _apply_entry(self, entry: ServerEntry) -> None:
         known = self.capsules.get(entry.server)
         if entry.state is ServerState.GONE:
             self.capsules.pop(entry.server, None)
         elif known is None or known.entry.up_since != entry.up_since:
-            # What an earlier process did says nothing about this one; what is out stays counted.
+            # A restarted server gets a new capsule: measurements of the earlier process do not apply to it.
+            # The calls in flight stay counted.
             calls = known.calls if known else set()
             quota = self._slow_start.quota_of(entry.server)
             self.capsules[entry.server] = Capsule(entry, calls, quota=quota)
--- a/stepknot/decisions/health.py
+++ b/stepknot/decisions/health.py
@@ -1,7 +1,7 @@
-"""Load reports, the probes that ask for them, and the memory of failures. Types: `stepknot/interface.py`.
+"""Load reports, the probes that request them, and recent failures. Types: `stepknot/interface.py`.
 
-Where many aggregators share the servers, own parts say little about a server's load. The replicas of a query
-are asked for theirs before its parts are placed.
+Where many aggregators share the servers, an aggregator's own parts show little of a server's load. It
+therefore probes the replicas of a query for their load before it places the query's parts.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from stepknot.decisions.capsule import (
     FLEET_SAMPLE_WEIGHT,
     HALF_LIFE,
-    REPORT_FRESH_SHARE,
+    MAX_REPORT_AGE_SHARE,
     Throttle,
 )
 from stepknot.decisions.endpoint_list import EndpointList
@@ -20,22 +20,25 @@
 from stepknot.decisions.turn import EPSILON, Turn
 from stepknot.interface import Outcome, Probe, ProbeEnded
 
-PROBE_WAIT_SHARE = 0.03  # of the aim: so long a query waits for load reports
-MIN_OTHERS = 2.0  # parts of others at a server, in the mean, below which no probe is needed
-# What a probe without an answer counts as out: a server that answers is better, even with a queue.
-PROBE_OUT_WEIGHT = 4
-# A failure counts as out, in the choice alone, for so many shortest base waits: a server that fails fast
-# looks idle.
-FAILURE_HOLD = 4.0
-MAX_HELD_ERRORS = 3  # errors that all servers share must not unbalance the choice
-# Or for so many times as long as nothing was sent there: an instance that sends rarely must learn, too.
-FAILURE_HOLD_GAPS = 2.0
-# Outcomes of a probe that are no failure of its server.
+PROBE_WAIT_SHARE = 0.03  # maximum wait of a query for load reports, as a fraction of `aim`
+# Mean number of other aggregators' parts at a server below which no probes are needed.
+MIN_OTHERS_FOR_PROBE = 2.0
+# An unanswered probe counts as this many calls in flight, so that a server that answers is preferred even if
+# it has a queue.
+PENDING_PROBE_WEIGHT = 4
+# A failure counts as one call in flight, in replica selection only, for this many shortest base waits. A
+# server that fails fast would otherwise look idle.
+FAILURE_MEMORY_WAITS = 4.0
+MAX_REMEMBERED_ERRORS = 3  # bounds the effect of errors that all servers share on replica selection
+# Or, if that is longer, for this multiple of the time without sends before the last call: a failure must also
+# last until the next send of an instance that sends rarely.
+FAILURE_MEMORY_GAPS = 2.0
+# Outcomes of a probe that do not count as a failure of its server.
 HARMLESS_PROBE_ENDS = (Outcome.SERVED, Outcome.REJECTED, Outcome.CANCELLED, Outcome.NOT_SENT)
 
 
 class FailureMemory:
-    """Failures that still count as out at their server."""
+    """Recent failures, each of which counts as a call in flight at its server."""
 
     __slots__ = ("_throttle", "_turn")
 
@@ -43,23 +46,23 @@
         self._turn, self._throttle = turn, throttle
 
     def count(self, capsule: Capsule) -> int:
-        """The failures that still count."""
+        """The number of the server's failures that have not expired."""
         if capsule.failures:
             now = self._turn.now
             capsule.failures = [until for until in capsule.failures if until > now]
         return len(capsule.failures)
 
-    def record(self, capsule: Capsule, max_held: float = math.inf) -> None:
-        """Hold one more failure, unless so many are held."""
-        if self.count(capsule) < max_held:
+    def record(self, capsule: Capsule, max_remembered: float = math.inf) -> None:
+        """Remember one more failure, unless `max_remembered` or more have not expired."""
+        if self.count(capsule) < max_remembered:
             base_wait = self._throttle.base_wait
-            hold = max(FAILURE_HOLD * base_wait, FAILURE_HOLD_GAPS * capsule.send_gap)
-            capsule.failures.append(self._turn.now + hold)
-            self._throttle.fleet.reported_at = -math.inf  # not all servers are healthy: probe
+            memory_time = max(FAILURE_MEMORY_WAITS * base_wait, FAILURE_MEMORY_GAPS * capsule.send_gap)
+            capsule.failures.append(self._turn.now + memory_time)
+            self._throttle.fleet.reported_at = -math.inf  # the fleet is not healthy: probe again
 
 
 class LoadReports:
-    """What servers report to hold, and the probes that ask them."""
+    """The load that servers report, and the probes that request the reports."""
 
     __slots__ = ("_endpoints", "_failures", "_throttle", "_timers", "_turn")
 
@@ -75,11 +78,11 @@
         self._endpoints, self._failures = endpoints, failures
 
     def is_ready(self, query: Query) -> bool:
-        """Whether a query's parts can be placed: its replicas have reported, or its time for that is over.
+        """Whether a query's parts can be placed: its replicas have reported, or its wait for that is over.
 
-        Probes them first, unless all servers are known to be idle. This guards against blind choices where
-        own counts are alike, and against servers that are down, cut off or stand still: one that does not
-        answer in time has a probe out, and that counts.
+        The replicas are probed first, unless the whole fleet is known to be idle. Without probes the choice
+        would be arbitrary where this aggregator's own counts are equal. Probes also reveal servers that are
+        down, unreachable or paused: a probe that is not answered in time counts against its server.
         """
         deadline = query.probe_deadline
         if deadline is None:
@@ -87,49 +90,50 @@
                 return True
             deadline = self._probe_replicas(query)
         return self._turn.now >= deadline - EPSILON or not any(
-            capsule.probe_out
+            capsule.is_probe_pending
             for part in query.parts
-            for capsule in self._endpoints.holders(part.shard)
+            for capsule in self._endpoints.replicas(part.shard)
         )
 
     def _is_fleet_idle(self) -> bool:
         fleet = self._throttle.fleet
-        return fleet.others < MIN_OTHERS and self._turn.now - fleet.reported_at < HALF_LIFE
+        return fleet.reported_others < MIN_OTHERS_FOR_PROBE and self._turn.now - fleet.reported_at < HALF_LIFE
 
     def _probe_replicas(self, query: Query) -> float:
-        """Probe those without a recent report; returns until when the query waits for them."""
+        """Probe the replicas without a recent report; returns the time until which the query waits."""
         now, actions = self._turn.now, self._turn.actions
         deadline = min(now + PROBE_WAIT_SHARE * query.query_class.aim, query.wait_end)
         query.probe_deadline = deadline
         self._timers.set(deadline)
-        old = REPORT_FRESH_SHARE * self._throttle.base_wait / 2
+        old = MAX_REPORT_AGE_SHARE * self._throttle.base_wait / 2
         for part in query.parts:
-            for capsule in self._endpoints.holders(part.shard):
-                if not capsule.probe_out and now - capsule.reported_at > old:
-                    capsule.probe_out = True
+            for capsule in self._endpoints.replicas(part.shard):
+                if not capsule.is_probe_pending and now - capsule.reported_at > old:
+                    capsule.is_probe_pending = True
                     actions.append(Probe(capsule.entry.server))
         return deadline
 
     def on_probe_ended(self, event: ProbeEnded) -> None:
-        """Take over the report; a probe that failed is a failure of its server."""
+        """Record the load report; a failed probe counts as a failure of its server."""
         capsule = self._endpoints.capsules.get(event.server)
         if capsule is None:
             return
-        capsule.probe_out = False
+        capsule.is_probe_pending = False
         self.record(capsule, event.load)
         if event.outcome not in HARMLESS_PROBE_ENDS:
             self._failures.record(capsule)
 
     def record(self, capsule: Capsule, load: dict[str, float]) -> None:
-        """Take over what a server reports to hold, or what waits and how busy it is.
+        """Record the number of parts that a server reports.
 
-        Reports that cannot be true are ignored.
+        That is its parts in flight, or else the length of its queue plus its utilization. Reports with
+        impossible values are ignored.
         """
-        held = load.get("inflight", load.get("queue", math.nan) + load.get("util", 0.0))
-        if not 0 <= held < math.inf:
+        reported = load.get("inflight", load.get("queue", math.nan) + load.get("util", 0.0))
+        if not 0 <= reported < math.inf:
             return
-        capsule.others = max(0.0, held - len(capsule.calls))
+        capsule.reported_others = max(0.0, reported - len(capsule.calls))
         capsule.reported_at = self._turn.now
         fleet = self._throttle.fleet
-        fleet.others += FLEET_SAMPLE_WEIGHT * (capsule.others - fleet.others)
+        fleet.reported_others += FLEET_SAMPLE_WEIGHT * (capsule.reported_others - fleet.reported_others)
         fleet.reported_at = self._turn.now
--- a/stepknot/decisions/hedging.py
+++ b/stepknot/decisions/hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: a second attempt of a part whose first one is overdue, or whose server is unresponsive.
+"""Hedging: sends a second attempt of a part whose first one is overdue, or whose server is unresponsive.
 
 The settings are those of `stepknot/interface.py`; hedges are sent only where `second_copies` allows them.
 """
@@ -15,13 +15,15 @@
 from stepknot.decisions.timers import Timers
 from stepknot.decisions.turn import EPSILON, Turn
 
-OVERDUE_MEANS = 4.0  # mean times after which an attempt is overdue
-# Of beta: a hedge of an overdue attempt goes only to a replica under it, so that hedges never feed a jam.
+OVERDUE_MEANS = 4.0  # mean response times after which an attempt is overdue
+# A hedge of an overdue attempt is sent only to a replica below this fraction of beta, so that hedges never
+# add to an overload.
 HEDGE_SHARE = 0.25
-# Of beta, for what is out at an unresponsive server: its first attempt hardly ran.
+# The same fraction for a hedge of an attempt at an unresponsive server. It is higher because the first
+# attempt has probably done little work.
 UNRESPONSIVE_HEDGE_SHARE = 0.4
 
-SendAgain = Callable[[Query, Part, float], None]  # with a factor on beta
+SendAgain = Callable[[Query, Part, float], None]  # the last argument is a factor applied to beta
 
 
 class Hedging:
@@ -49,7 +51,7 @@
         self._failures, self._outliers = failures, outliers
 
     def connect(self, send_again: SendAgain, in_flight: Mapping[AttemptKey, Attempt]) -> None:
-        """Set what sends the hedges, before the first event; a hedge is watched like any attempt.
+        """Set the function that sends hedges; called before the first event. Hedges are watched, too.
 
         Args:
             send_again: Sends a part to another replica, if that is allowed.
@@ -58,50 +60,50 @@
         self._send_again, self._in_flight = send_again, in_flight
 
     def watch_attempt(self, key: AttemptKey, attempt: Attempt) -> None:
-        """Look at an attempt when it becomes overdue, if that is within its wait."""
+        """Set a timer for when an attempt becomes overdue, if that is within its wait."""
         overdue = OVERDUE_MEANS * self._throttle.estimate(attempt.capsule)[0]
         if overdue < attempt.wait:
             self._timers.set(self._turn.now + overdue, partial(self._on_overdue, key))
 
     def watch_server(self, capsule: Capsule, since: float) -> None:
-        """Look at a server once nothing came back from it for the patience that all servers get."""
-        if not capsule.has_silence_timer:
-            capsule.has_silence_timer = True
-            patience = self._outliers.unresponsive.patience()
-            self._timers.set(since + patience, partial(self._on_silence, capsule))
+        """Set a timer for when the server becomes unresponsive if it sends nothing after `since`."""
+        if not capsule.has_response_timer:
+            capsule.has_response_timer = True
+            threshold = self._outliers.unresponsive.threshold()
+            self._timers.set(since + threshold, partial(self._on_no_response, capsule))
 
     def _on_overdue(self, key: AttemptKey) -> None:
-        """Guard against unresponsive servers, cut links and lost answers.
+        """Hedge an overdue attempt: its server may be unresponsive or unreachable, or its answer lost.
 
-        Only a server that has answered nothing since is held to be failing; another one may have a queue, or
-        lost just this part.
+        A failure is recorded only if the server has served nothing since the attempt was sent; otherwise it
+        may just have a queue, or have lost only this part.
         """
         attempt = self._in_flight.get(key)
         if attempt is None:
             return
         query, part, capsule = attempt.query, attempt.part, attempt.capsule
         attempt.is_overdue = True
-        self._outliers.shared_faults.note(attempt, is_lost=True)
-        self._outliers.class_losses.note(attempt, is_lost=True)
-        if capsule.answered_at < attempt.sent_at:
+        self._outliers.shared_faults.record(attempt, is_lost=True)
+        self._outliers.class_losses.record(attempt, is_lost=True)
+        if capsule.last_served_at < attempt.sent_at:
             self._failures.record(capsule)
         if part not in query.parts or part.is_served:
             return
         if self._turn.settings.limits.second_copies:
             self._send_again(query, part, HEDGE_SHARE)
 
-    def _on_silence(self, capsule: Capsule) -> None:
-        """Guard against servers that stand still for a moment: what is out there cannot be in time."""
-        capsule.has_silence_timer = False
+    def _on_no_response(self, capsule: Capsule) -> None:
+        """Hedge the parts at an unresponsive server: after even a short pause they would come too late."""
+        capsule.has_response_timer = False
         if not capsule.calls:
             return
-        silent_for = self._turn.now - capsule.unanswered_since
-        if silent_for < self._outliers.unresponsive.patience() - EPSILON:
+        unanswered_for = self._turn.now - capsule.unanswered_since
+        if unanswered_for < self._outliers.unresponsive.threshold() - EPSILON:
             self.watch_server(capsule, capsule.unanswered_since)
             return
         for attempt in [each for each in self._in_flight.values() if each.capsule is capsule]:
             query, part = attempt.query, attempt.part
-            is_alone = part in query.parts and not part.is_served and part.attempts_out == 1
-            if is_alone and self._turn.settings.limits.second_copies:
+            is_unhedged = part in query.parts and not part.is_served and part.attempts_in_flight == 1
+            if is_unhedged and self._turn.settings.limits.second_copies:
                 self._send_again(query, part, UNRESPONSIVE_HEDGE_SHARE)
         self.watch_server(capsule, self._turn.now)
--- a/stepknot/decisions/records.py
+++ b/stepknot/decisions/records.py
@@ -1,4 +1,7 @@
-"""Records of one aggregator: servers, parts, queries and attempts. Plain state, no decisions."""
+"""The state of one aggregator: servers, parts, queries and attempts. These classes make no decisions.
+
+The entries and classes they refer to are those of `stepknot/interface.py`.
+"""
 
 from __future__ import annotations
 
@@ -8,31 +11,31 @@
 
 from stepknot.interface import QueryClass, ServerEntry
 
-AttemptKey = tuple[int, int]  # part and number of an attempt, as in the caller's events
+AttemptKey = tuple[int, int]  # part_id and number of the attempt, as in the caller's events
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """Parts that travel together to one server, formed in one turn."""
+    """Parts that are sent together to one server in one turn."""
 
-    turn: int  # number of the turn in which it was formed
-    on_idle_connection: bool = False  # nothing was sent there for long before
-    is_sampled: bool = False  # its end was counted for the state of idle connections
-    parts: int = 0  # that travel in it
-    parts_out: int = 0  # those of them that have not ended
+    turn: int  # number of the turn in which the call was created
+    on_idle_connection: bool = False  # nothing was sent to the server for long before the call
+    is_sampled: bool = False  # whether its end was counted in the losses by state of the connection
+    parts: int = 0  # number of parts in the call
+    parts_in_flight: int = 0  # number of its parts that have not ended
 
 
 @dataclass(slots=True, eq=False)
 class DecayingShare:
-    """A share between 0 and 1 that is forgotten with time."""
+    """A share between 0 and 1 that decays with time."""
 
-    share: float
-    noted_at: float
+    share: float  # at `updated_at`
+    updated_at: float
 
 
 @dataclass(slots=True, eq=False)
 class WorkEstimate:
-    """What a part costs a server, in seconds, and from how many responses that is known."""
+    """An estimate of a part's work at a server, in seconds, and the number of responses behind it."""
 
     responses: int
     seconds: float
@@ -40,56 +43,56 @@
 
 @dataclass(slots=True, eq=False)
 class ColdQuota:
-    """What was sent to a server that warms up.
+    """The parts that were sent to a server that is warming up.
 
-    It outlives the entry: a server that leaves the list and comes back brings no fresh quota.
+    It is kept when the entry is removed: a server that leaves the list and returns gets no new quota.
     """
 
-    draw: float | None = None  # 0 to 1, drawn once: what the fraction of a part is worth here
+    draw: float | None = None  # random number, 0 to 1, that decides on a fraction of a part; drawn once
     spent: deque[tuple[float, float]] = field(default_factory=deque)  # time and work of each part
 
 
 @dataclass(slots=True, eq=False)
 class Capsule:
-    """What this aggregator knows of one server, or of all servers together."""
+    """This aggregator's state for one server, or for all servers together."""
 
     entry: ServerEntry
-    calls: set[Call] = field(default_factory=set)  # those out; their number is n
-    last_call: Call = field(default_factory=lambda: Call(-1))  # the last one that was formed
+    calls: set[Call] = field(default_factory=set)  # calls in flight; their number is n
+    last_call: Call = field(default_factory=lambda: Call(-1))  # the call that was created last
     quota: ColdQuota = field(default_factory=ColdQuota)
-    # Recent means over responses.
-    responses: int = 0
+    # Moving averages over responses.
+    responses: int = 0  # number of responses in the averages
     last_response_at: float = 0.0
-    mean_time: float = 0.0  # seconds
-    mean_out: float = 1.0  # what was out there when the part was sent
+    mean_time: float = 0.0  # mean response time in seconds
+    mean_in_flight: float = 1.0  # mean number of calls in flight when a part was sent
     # Load reports.
-    others: float = 0.0  # parts of other aggregators there, by the last report
+    reported_others: float = 0.0  # other aggregators' parts at the server, by the last report
     reported_at: float = -math.inf
-    probe_out: bool = False  # a probe of its load has not ended
-    # Signs of life.
-    answered_at: float = 0.0  # when the last part was served
-    latest_answered_send: float = 0.0  # the latest send time of all parts that were served
-    unanswered_since: float = math.inf  # since then something is out and nothing came back
-    has_silence_timer: bool = False
+    is_probe_pending: bool = False  # whether a probe of its load has not ended
+    # Responsiveness.
+    last_served_at: float = 0.0  # when a part was last served
+    latest_served_sent_at: float = 0.0  # the latest send time of all parts that were served
+    unanswered_since: float = math.inf  # start of the time with calls in flight and no response
+    has_response_timer: bool = False  # whether a timer is set that checks for responses
     class_losses: dict[str, DecayingShare] = field(default_factory=dict)  # by class
     # Sends.
-    last_used_at: float = math.inf  # when a connection there was last used
-    send_gap: float = 0.0  # seconds in which nothing was sent there before the last call
-    failures: list[float] = field(default_factory=list)  # until when each one counts as out
+    last_used_at: float = math.inf  # when a connection to the server was last used
+    send_gap: float = 0.0  # seconds without a send to the server before the last call
+    failures: list[float] = field(default_factory=list)  # when each remembered failure expires
 
 
 @dataclass(slots=True, eq=False)
 class Part:
-    """One part of a query, over all its attempts."""
+    """One part of a query, with all its attempts."""
 
     part_id: int
     shard: int
     weight: float
     servers: list[str] = field(default_factory=list)  # the server of each attempt
-    attempts_out: int = 0
+    attempts_in_flight: int = 0
     is_served: bool = False
-    may_have_run: bool = False  # by the outcome of an attempt that ended
-    may_run_since: float | None = None  # the first send that is not known to have never run
+    may_have_run: bool = False  # whether the outcome of an ended attempt leaves this possible
+    may_run_since: float | None = None  # time of the first send, unless it is known that none has run
 
 
 @dataclass(slots=True, eq=False)
@@ -100,14 +103,14 @@
     number: int
     query_class: QueryClass
     arrived_at: float
-    answer_by: float  # when its final answer must be given
-    is_late: bool = False  # it waits on beyond the end of its wait
+    answer_by: float  # the latest time for its final answer
+    is_late: bool = False  # whether its wait was extended for a late answer
     wait_end: float = 0.0
-    parts: list[Part] = field(default_factory=list)  # of the present step
-    first_parts: list[Part] = field(default_factory=list)  # of the first step, once answered
-    first_complete: bool = True
-    priority: float = 1.0  # factor on beta
-    probe_deadline: float | None = None  # until when it waits for its replicas' load reports
+    parts: list[Part] = field(default_factory=list)  # parts of the current step
+    first_parts: list[Part] = field(default_factory=list)  # parts of the first step, once answered
+    first_complete: bool = True  # whether the answer of the first step was complete
+    priority: float = 1.0  # factor applied to beta
+    probe_deadline: float | None = None  # end of its wait for its replicas' load reports
 
 
 @dataclass(slots=True, eq=False)
@@ -118,8 +121,8 @@
     call: Call
     part: Part
     query: Query
-    out: float  # what was out there with it
+    in_flight_at_send: float  # calls in flight at the server, including this one and others' parts
     sent_at: float
     wait: float
-    is_sampled: bool = False  # its end was counted for the server's kind and zone
+    is_sampled: bool = False  # whether its end was counted in the losses by kind and zone
     is_overdue: bool = False
--- a/stepknot/decisions/retry_budget.py
+++ b/stepknot/decisions/retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: a bound on further attempts within a window. Rules: `stepknot/interface.py`."""
+"""The retry budget limits further attempts within a time window. Rules: `stepknot/interface.py`."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from stepknot.decisions.turn import Turn
 
-RESERVED_BUDGET_SHARE = 0.5  # kept for parts without which their query is lost
+RESERVED_BUDGET_SHARE = 0.5  # reserved for parts that their query needs to reach its floor
 
 
 class RetryBudget:
-    """Further attempts within a window, bounded by what arrived in it."""
+    """Limits further attempts within a window to a share of the queries and parts that arrived in it."""
 
     __slots__ = ("_turn", "arrivals", "retries")
 
@@ -19,12 +19,16 @@
         self.arrivals: deque[float] = deque()  # times of queries and parts
         self.retries: deque[float] = deque()  # times of further attempts
 
-    def note_arrival(self) -> None:
+    def record_arrival(self) -> None:
         """Count a query or a part."""
         self.arrivals.append(self._turn.now)
 
     def allows(self, is_needed: bool) -> bool:
-        """Whether one more attempt is within the budget; `is_needed`: without the part its query is lost."""
+        """Whether one more attempt is within the budget.
+
+        Args:
+            is_needed: Whether the query cannot reach its floor without the part.
+        """
         rules = self._turn.settings.rules
         since = self._turn.now - rules.extra_window
         for times in (self.arrivals, self.retries):
--- a/stepknot/decisions/selection.py
+++ b/stepknot/decisions/selection.py
@@ -1,4 +1,4 @@
-"""Replica selection: the replica with the fewest calls out. Types: `stepknot/interface.py`."""
+"""Replica selection: prefers the replica with the fewest calls in flight. Types: `stepknot/interface.py`."""
 
 from __future__ import annotations
 
@@ -6,20 +6,21 @@
 
 from stepknot.decisions.capsule import Throttle
 from stepknot.decisions.endpoint_list import EndpointList
-from stepknot.decisions.health import PROBE_OUT_WEIGHT, FailureMemory
+from stepknot.decisions.health import PENDING_PROBE_WEIGHT, FailureMemory
 from stepknot.decisions.outlier_detection import OutlierDetection
 from stepknot.decisions.records import Capsule, Query
 from stepknot.decisions.slow_start import SlowStart
 from stepknot.decisions.turn import Turn
 from stepknot.interface import Effect, Narrow
 
-# What is compared, the lowest first: fails the class, would not be sent to, unresponsive, count, needs a new
-# call, chance.
+# The replica with the lowest rank is chosen. The values are, in the order of comparison: whether the replica
+# fails the class, whether it is at beta or bypassed, whether it is unresponsive, its number of calls in flight
+# with penalties, whether it needs a new call, and a random number.
 Rank = tuple[bool, bool, bool, float, bool, float]
 
 
 class ReplicaSelector:
-    """Chooses a server for a part among the live holders of its shard."""
+    """Chooses a server for a part among the live replicas of its shard."""
 
     __slots__ = (
         "_class_losses",
@@ -48,7 +49,7 @@
         self._shared_faults = outliers.shared_faults
 
     def choose(
-        self, query: Query, shard: int, excluded: list[str], share: float, is_trial: bool
+        self, query: Query, shard: int, excluded: list[str], beta_factor: float, is_trial: bool
     ) -> Capsule | None:
         """The best replica of a shard, or None if there is none.
 
@@ -56,14 +57,14 @@
             query: The part's query.
             shard: The part's shard.
             excluded: Servers that must not be chosen.
-            share: Factor on beta.
+            beta_factor: Factor applied to beta.
             is_trial: As in `Throttle.part_wait`.
         """
         class_name = query.query_class.name
         has_capacity = self._slow_start.has_capacity
         candidates = [
             capsule
-            for capsule in self._endpoints.holders(shard)
+            for capsule in self._endpoints.replicas(shard)
             if capsule.entry.server not in excluded and has_capacity(capsule, class_name)
         ]
         if self._turn.narrow:
@@ -71,34 +72,36 @@
         best: Capsule | None = None
         best_rank: Rank | None = None
         for capsule in candidates:
-            rank = self._rank(query, capsule, share, is_trial)
+            rank = self._rank(query, capsule, beta_factor, is_trial)
             if best_rank is None or rank < best_rank:
                 best, best_rank = capsule, rank
         return best
 
     def _narrowed(self, narrow: Narrow, query: Query, candidates: list[Capsule]) -> list[Capsule]:
-        """Those candidates that the caller's rule leaves."""
+        """The candidates that the caller's rule allows."""
         entries = [capsule.entry for capsule in candidates]
         is_safe = query.query_class.effect is Effect.SAFE
         places = narrow(self._turn.now, entries, is_safe, bool(query.first_parts))
         return [candidates[place] for place in places]
 
-    def _rank(self, query: Query, capsule: Capsule, share: float, is_trial: bool) -> Rank:
-        """What is compared: first the fewest calls out; a call formed in this turn takes a part for nothing.
+    def _rank(self, query: Query, capsule: Capsule, beta_factor: float, is_trial: bool) -> Rank:
+        """The rank of a replica, which mainly is its number of calls in flight.
 
-        A server at its bound, or that would be bypassed, comes after others: a slow server has few out, it
-        would be chosen again and again, and each all-parts query be rejected for it until its mean is
-        forgotten. An unresponsive one comes after others, too. Last comes one that fails this class: a query
-        sent there is lost with all its parts.
+        A part that joins a call of this turn adds no call. Servers at beta and bypassed servers rank behind
+        others: a slow server has few calls in flight, so it would be chosen again and again, and every query
+        that needs all parts would be rejected because of it until its mean decays. Unresponsive servers rank
+        behind others, too. Servers that fail the query's class rank last: when they lose a part, the work on
+        the query's other parts is wasted.
         """
         throttle = self._throttle
         count = throttle.n(capsule) + self._failures.count(capsule)
-        count += PROBE_OUT_WEIGHT * capsule.probe_out
-        # Reports count by powers of two: all aggregators see the same one and must not all follow it.
-        count += int(math.log2(1 + throttle.others_out(capsule)))
+        count += PENDING_PROBE_WEIGHT * capsule.is_probe_pending
+        # Reported load counts by its logarithm: all aggregators see the same report, and a small difference
+        # must not send them all to the same server.
+        count += int(math.log2(1 + throttle.others_in_flight(capsule)))
         return (
             self._class_losses.fails_class(capsule, query.query_class.name),
-            throttle.part_wait(query, capsule, share, is_trial) <= 0,
+            throttle.part_wait(query, capsule, beta_factor, is_trial) <= 0,
             self._unresponsive.is_unresponsive(capsule),
             count + self._shared_faults.excess(capsule),
             not throttle.joins_call(capsule),
--- a/stepknot/decisions/turn.py
+++ b/stepknot/decisions/turn.py
@@ -1,4 +1,7 @@
-"""The present turn of an aggregator and what all its parts share. Types: `stepknot/interface.py`."""
+"""The current turn, which all modules of an aggregator share. Types: `stepknot/interface.py`.
+
+A turn is the processing of one call of `Aggregator.handle`.
+"""
 
 from __future__ import annotations
 
@@ -6,14 +9,14 @@
 
 from stepknot.interface import Action, Narrow, Settings
 
-EPSILON = 1e-6  # weights add up to 1 and timers come due except for rounding
+EPSILON = 1e-6  # tolerance for rounding errors in sums of weights and in times
 
 
 class Turn:
-    """One call of `Aggregator.handle`: its time, its number, the actions so far.
+    """The current call of `Aggregator.handle`: its time, its number, and its actions so far.
 
-    Also holds what never changes: the settings, the caller's rule on candidates and the seeded generator,
-    which is the only source of chance.
+    It also holds what stays the same over all turns: the settings, the caller's rule for candidates, and the
+    seeded random generator, which is the only source of randomness.
     """
 
     __slots__ = ("actions", "narrow", "now", "number", "random", "settings")
--- a/stepknot/interface.py
+++ b/stepknot/interface.py
@@ -1,10 +1,10 @@
 """The interface of stepknot: settings, events and actions.
 
-A caller makes one `stepknot.Aggregator(settings, seed)` and hands it events with the time at which they
+A caller creates one `stepknot.Aggregator(settings, seed)` and passes it events with the time at which they
 happened: `handle(now, events) -> list[Action]`. The actions take effect at that time, in their order.
-Times and durations are seconds; the clock has no fixed start and never goes backwards. A query comes as one
-`QueryArrived`, its parts as `PartArrived` in the same call. Attempts of a part are numbered from 0 in the
-order of their `Send` actions.
+Times and durations are in seconds; the clock has an arbitrary start and never goes backwards. A query arrives
+as one `QueryArrived`, with its parts as `PartArrived` in the same call. Attempts of a part are numbered from 0
+in the order of their `Send` actions.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 class Effect(Enum):
-    """What a part does that is sent a second time."""
+    """The effect of sending a part a second time."""
 
-    SAFE = "safe"  # nothing
-    KEYED = "keyed"  # nothing within the class's repeat window
-    UNSAFE = "unsafe"  # its effect a second time
+    SAFE = "safe"  # no further effect
+    KEYED = "keyed"  # no further effect within the class's repeat window
+    UNSAFE = "unsafe"  # the effect happens a second time
 
 
 class Outcome(Enum):
@@ -28,7 +28,7 @@
 
     SERVED = "served"
     ERROR = "error"
-    REJECTED = "rejected"  # by the server, before it began
+    REJECTED = "rejected"  # the server rejected it before it ran
     TIMED_OUT = "timed out"
     NOT_CONNECTED = "not connected"
     RESET = "reset"
@@ -50,19 +50,20 @@
 
 
 class ListKind(Enum):
-    """What a `ListReceived` holds."""
+    """The kind of content of a `ListReceived`."""
 
     CHANGES = "changes"
     FULL = "full"
-    CACHED = "cached"  # the full list as last had, perhaps stale
-    FAILED = "failed"  # a call failed or the subscription broke; no entries
+    CACHED = "cached"  # the last full list that was received, which may be stale
+    FAILED = "failed"  # a request failed or the subscription broke; there are no entries
 
 
 @dataclass(frozen=True, slots=True)
 class QueryClass:
-    """A class of query: its latency objective, deadline, worth and what may be repeated.
+    """A class of query: its latency objective, deadline, priority weight, and what may be repeated.
 
-    An answer within `aim` earns `worth`, a later one `late_value` of it.
+    `aim` is the latency objective. An answer within it earns `worth`, a later one the fraction `late_value` of
+    it.
     """
 
     name: str
@@ -72,35 +73,40 @@
     late_value: float = 0.0
     effect: Effect = Effect.SAFE
     repeat_window: float = 0.0
-    need: float = 1.0  # share of the weight that makes a whole answer
-    floor: float = 1.0  # least share for any answer
-    partial_value: float = 0.0  # an answer that is not whole earns this x share / need
+    need: float = 1.0  # minimum share of the weight for a complete answer
+    floor: float = 1.0  # minimum share of the weight for any answer
+    partial_value: float = 0.0  # an incomplete answer earns this fraction, times its share / need
     second_step_parts: int = 0
 
     @property
     def all_parts(self) -> bool:
-        """Whether a query of this class is answered from all of its parts only."""
+        """Whether a query of this class is answered only if all of its parts were served."""
         return self.floor >= 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Rules of the deployment that every instance has to keep."""
+    """Rules of the deployment that every instance must follow.
+
+    A server that is sent more than `fall_multiple` times its current capacity for `fall_time` fails. Within
+    each `extra_window` there are at most `extra_floor` further attempts, plus the share `extra_share` of the
+    queries and parts that arrived.
+    """
 
     drain_grace: float
-    cold_share: float  # a server starts with this share of its capacity or more ...
-    cold_time: float  # ... and is warm after this long at most
-    fall_multiple: float  # sent more than this many times its present capacity ...
-    fall_time: float  # ... for this long, it falls over
-    ask_within: float = 0.0  # without a subscription, ask for the list this often (0: no such rule)
-    extra_window: float = 0.0  # the attempt budget's window (0: no budget)
+    cold_share: float  # minimum share of its capacity that a server has when it starts
+    cold_time: float  # maximum time until a server has its full capacity
+    fall_multiple: float
+    fall_time: float
+    ask_within: float = 0.0  # maximum interval between requests for the list (0: no such rule)
+    extra_window: float = 0.0  # 0: no limit on further attempts
     extra_floor: float = 0.0
     extra_share: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the caller allows, and its bounds."""
+    """What the caller allows an aggregator to do, with upper bounds."""
 
     max_attempts: int
     cancelling: bool = False
@@ -108,12 +114,12 @@
     second_copies: bool = False
     retry_after: bool = False
     max_retry_after: float = 0.0
-    idle_connection: float = 0.0  # idle connections are closed after this long (0: not told)
+    idle_connection: float = 0.0  # time after which the caller closes idle connections (0: unknown)
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that an aggregator is told at its start."""
+    """All settings of an aggregator."""
 
     instances: int
     cells: int  # shard s is held by the servers of cells (s + j) mod cells, j < reach
@@ -122,8 +128,8 @@
     classes: dict[str, QueryClass]
     rules: Rules
     limits: Limits
-    must_ask: bool = False  # the list's changes come only when asked for
-    worth_by_work: bool = False  # a query's worth counts in proportion to its work
+    must_ask: bool = False  # whether changes of the list arrive only after a `Watch`
+    worth_by_work: bool = False  # whether a query earns its worth in proportion to its work
     tick: float = 0.0
 
 
@@ -136,19 +142,20 @@
     cell: int
     state: ServerState
     size: float = 1.0
-    up_since: float = 0.0  # 0: long ago
-    kind: str = ""  # of machine
-    sharers: float = 0.0  # no more instances than this may send to it while it is cold (0: all may)
+    up_since: float = 0.0  # start time of its process (0: long ago)
+    kind: str = ""  # kind of machine
+    sharers: float = 0.0  # maximum number of instances that send to it while it is cold (0: all)
 
 
-# Which of a part's candidates may be chosen, by their places. For rules of the caller that are not of one
-# server, such as bounds for a whole zone. Safe: the part may be lost; owed: a first step was done for it.
+# A rule of the caller that restricts the candidates for a part, such as a limit for a whole zone. The arguments
+# are the time, the candidates, whether the part is safe to repeat (then it may be lost in a trial), and whether
+# its query's first step has been answered. It returns the indexes of the candidates that may be chosen.
 Narrow = Callable[[float, list[ServerEntry], bool, bool], list[int]]
 
 
 @dataclass(slots=True)
 class ListReceived:
-    """The endpoint list, or changes of it, or that it could not be had."""
+    """The endpoint list, changes of it, or a failure to get it."""
 
     kind: ListKind
     entries: tuple[ServerEntry, ...] = ()
@@ -156,21 +163,21 @@
 
 @dataclass(slots=True)
 class QueryArrived:
-    """A client's query. Its parts come as `PartArrived` in the same call."""
+    """A client's query. Its parts arrive as `PartArrived` in the same call."""
 
     query_id: int
-    number: int  # its parts carry the same
+    number: int  # its parts have the same number
     class_name: str
     deadline: float
     tenant: str = ""
     key: str = ""
-    effort: float = 0.0  # expected work of all parts, 0: not told
+    effort: float = 0.0  # expected work of all parts (0: unknown)
     retry: bool = False
 
 
 @dataclass(slots=True)
 class PartArrived:
-    """A part of a query: what one shard is asked for."""
+    """A part of a query: the request to one shard."""
 
     part_id: int
     number: int
@@ -181,7 +188,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended; `elapsed` since its send, `load` as the server reports it."""
+    """An attempt ended; `elapsed` is the time since its send, `load` is the server's load report."""
 
     part_id: int
     attempt: int
@@ -208,7 +215,7 @@
 
 @dataclass(slots=True)
 class ProbeEnded:
-    """A probe of a server's load ended, `load` as the server reports it."""
+    """A probe of a server ended; `load` is the server's load report."""
 
     server: str
     outcome: Outcome
@@ -218,9 +225,9 @@
 
 @dataclass(slots=True)
 class InstancesCounted:
-    """No more instances than this may be there now, instead of as many as the settings say.
+    """The maximum number of instances has changed; `instances` replaces the value of the settings.
 
-    Without this event those count, so nobody need send it.
+    The event is optional: without it the value of the settings applies.
     """
 
     instances: int
@@ -240,15 +247,16 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; sends to one server in one call of `handle` may travel as one call.
+    """Start an attempt; sends to one server in one call of `handle` may be combined into one call.
 
-    What is not written whole by `not_after` is never written: it ends as not connected.
+    A part that is not written completely by `not_after` must not be written; its attempt ends as
+    `NOT_CONNECTED`.
     """
 
     part_id: int
     server: str
     timeout: float
-    attempt: int = 0  # its number
+    attempt: int = 0  # number of the attempt
     not_after: float = math.inf
 
 
@@ -262,15 +270,15 @@
 
 @dataclass(slots=True)
 class Answer:
-    """Answer a query from the parts served. With a second step, the first of two."""
+    """Answer a query from the parts served. A query of a class with a second step gets two answers."""
 
     query_id: int
-    whole: bool
+    whole: bool  # whether the answer is complete
 
 
 @dataclass(slots=True)
 class Refuse:
-    """Final: rejected, and to repeat the query is harmless; `retry_after` in seconds, 0: no advice."""
+    """Reject a query, as its final answer. Repeating it is harmless, after `retry_after` seconds (0: no advice)."""
 
     query_id: int
     retry_after: float = 0.0
@@ -278,14 +286,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final: failed, with no promise about its effect."""
+    """Fail a query, as its final answer. It may or may not have had an effect."""
 
     query_id: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Hand back one `TimerDue` with this token at this time."""
+    """Request one `TimerDue` with this token at this time."""
 
     at: float
     token: int
@@ -293,21 +301,21 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Ask a server for its load report; answered by one `ProbeEnded`."""
+    """Request a server's load report; one `ProbeEnded` follows."""
 
     server: str
 
 
 @dataclass(slots=True)
 class Close:
-    """Close the idle connections to a server: a `Send` after it opens a new one."""
+    """Close the idle connections to a server; a later `Send` to it opens a new one."""
 
     server: str
 
 
 @dataclass(slots=True)
 class Watch:
-    """Ask for the list's changes from now on."""
+    """Request the endpoint list's changes from now on."""
 
 
 Action = Send | Cancel | Answer | Refuse | Fail | SetTimer | Probe | Close | Watch
--- a/stepknot/logic.py
+++ b/stepknot/logic.py
@@ -1,4 +1,4 @@
-"""The decision library under its former name. It is in `stepknot/decisions`, its types in `interface.py`."""
+"""Former import path of the decision library, now `stepknot/decisions`. Its types are in `interface.py`."""
 
 from stepknot.decisions import Aggregator
 
--- a/tests/broker/test_node_faults.py
+++ b/tests/broker/test_node_faults.py
@@ -234,7 +234,7 @@
         assert client("PUT", "/reports/_create/a", {"n": 1}).status == 201
     capsules = run.service.core.aggregator.capsules.values()
     assert wait_for(
-        lambda: not run.call(lambda: any(each.probe_out for each in capsules))
+        lambda: not run.call(lambda: any(each.is_probe_pending for each in capsules))
     )  # no question is out
     stray = b"HTTP/1.1 500 Late\r\ncontent-length: 2\r\n\r\n{}"
     idle = [sock for box in run.boxes for sock in box.socks]
--- a/tests/decisions/steps.py
+++ b/tests/decisions/steps.py
@@ -67,7 +67,7 @@
 def set_known(driver: Driver, mean: float = 0.02, out: float = 2.0) -> None:
     """Let all servers have answered a moment ago, in this mean time with so many out."""
     for capsule in (*driver.aggregator.capsules.values(), driver.aggregator.throttle.fleet):
-        capsule.responses, capsule.last_response_at, capsule.mean_time, capsule.mean_out = (
+        capsule.responses, capsule.last_response_at, capsule.mean_time, capsule.mean_in_flight = (
             50,
             driver.now,
             mean,
--- a/tests/decisions/test_capsule.py
+++ b/tests/decisions/test_capsule.py
@@ -118,7 +118,7 @@
     driver = Driver()
     for capsule in driver.aggregator.capsules.values():
         capsule.responses, capsule.last_response_at = 50, driver.now
-        capsule.mean_time, capsule.mean_out = 0.8 * driver.settings.classes["all"].aim, 20.0
+        capsule.mean_time, capsule.mean_in_flight = 0.8 * driver.settings.classes["all"].aim, 20.0
     assert [driver.finals.get(driver.query("all", [0, 1])) for _ in range(3)] == [None] * 3
 
 
@@ -126,7 +126,7 @@
     driver = Driver()
     for capsule in driver.aggregator.capsules.values():
         capsule.responses, capsule.last_response_at = 50, driver.now
-        capsule.mean_time, capsule.mean_out = 0.8 * driver.settings.classes["all"].aim, 1.0
+        capsule.mean_time, capsule.mean_in_flight = 0.8 * driver.settings.classes["all"].aim, 1.0
     assert isinstance(driver.finals.get(driver.query("all", [0, 1])), Refuse)
 
 
@@ -150,7 +150,7 @@
     base_wait = driver.aggregator.throttle.base_wait
     beta = BETA_SHARE * base_wait / 0.001
     capsule = driver.aggregator.capsules["s0a"]
-    capsule.calls |= {Call(0, parts=1, parts_out=1) for _ in range(round(out_in_betas * beta))}
+    capsule.calls |= {Call(0, parts=1, parts_in_flight=1) for _ in range(round(out_in_betas * beta))}
     driver.query("some", [0])
     (send,) = driver.sends()
     assert send.timeout == pytest.approx(wait_in_base_waits * base_wait, abs=0.01)
@@ -162,7 +162,7 @@
     base_wait = driver.aggregator.throttle.base_wait
     beta = math.floor(BETA_SHARE * base_wait / 0.001)
     capsule = driver.aggregator.capsules["s0a"]
-    capsule.calls |= {Call(0, parts=1, parts_out=1) for _ in range(beta)}
+    capsule.calls |= {Call(0, parts=1, parts_in_flight=1) for _ in range(beta)}
     driver.query("all", [0])
     assert [send.timeout for send in driver.sends()] == [pytest.approx(base_wait)]
     assert isinstance(driver.finals.get(driver.query("all", [0])), Refuse)
--- a/tests/decisions/test_hedging.py
+++ b/tests/decisions/test_hedging.py
@@ -100,7 +100,7 @@
     (part,) = driver.parts[query]
     (other,) = {"s0a", "s0b"} - {driver.attempts[part][0][0]}
     capsule = driver.aggregator.capsules[other]
-    capsule.calls |= {Call(0, parts=1, parts_out=1) for _ in range(int(0.35 * beta))}
+    capsule.calls |= {Call(0, parts=1, parts_in_flight=1) for _ in range(int(0.35 * beta))}
     driver.at(driver.now + 0.1)
     driver.fire()
     assert [send.server for send in driver.sends()] == [other]
--- a/tests/decisions/test_selection.py
+++ b/tests/decisions/test_selection.py
@@ -61,7 +61,7 @@
     driver = Driver(fleet=FLEET[:2])
     slow, quick = (driver.aggregator.capsules[entry.server] for entry in FLEET[:2])
     for capsule, mean in ((slow, 0.5), (quick, 0.02)):
-        capsule.responses, capsule.last_response_at, capsule.mean_time, capsule.mean_out = (
+        capsule.responses, capsule.last_response_at, capsule.mean_time, capsule.mean_in_flight = (
             50,
             driver.now,
             mean,
@@ -69,7 +69,7 @@
         )
     driver.query("all", [0])
     driver.query("all", [0])
-    slow.calls = {Call(0, parts=1, parts_out=1), Call(0, parts=1, parts_out=1)}
-    quick.calls = {Call(0, parts=1, parts_out=1) for _ in range(5)}
+    slow.calls = {Call(0, parts=1, parts_in_flight=1), Call(0, parts=1, parts_in_flight=1)}
+    quick.calls = {Call(0, parts=1, parts_in_flight=1) for _ in range(5)}
     assert driver.finals.get(driver.query("all", [0])) is None
     assert driver.sends()[0].server == quick.entry.server
