--- a/stepknot/benchlink.py
+++ b/stepknot/benchlink.py
@@ -1,4 +1,8 @@
-"""The simulator's wire on standard input and output: parses, translates, dispatches. Decides nothing."""
+"""Adapter between the simulator and the decision library, over standard input and output.
+
+Each line of input is a JSON object with events, and each line of output is one with the actions that follow.
+The adapter only parses, translates and dispatches; all decisions are made by the library.
+"""
 
 from __future__ import annotations
 
@@ -43,32 +47,32 @@
 
 
 class WireError(StepknotError):
-    """A line or a setting that is malformed."""
+    """A line or a setting is malformed."""
 
 
 def seconds(ns: float) -> float:
-    """Seconds of nanoseconds."""
+    """Convert nanoseconds to seconds."""
     return ns / NS
 
 
 def nanoseconds(value: float) -> int:
-    """Whole nanoseconds of seconds."""
+    """Convert seconds to nanoseconds, rounded to an integer."""
     return round(value * NS)
 
 
 def parse_settings(profile: Fields) -> api.Settings:
-    """The settings of an instance; keys that are not known are ignored."""
+    """Parse the settings of an instance; unknown keys are ignored."""
     family, allowed, rules = profile["family-info"], profile["allowed"], profile["rules"]
     classes = {}
-    for index, lane in enumerate(profile["lanes"]):
-        classes[lane["name"]] = api.QueryClass(
-            name=lane["name"],
-            aim=seconds(lane["slo-ns"]),
-            deadline=seconds(lane["deadline-ns"]),
-            worth=lane["points"],
-            late_value=lane["late-value"],
-            effect=EFFECTS[lane["idempotency"]],
-            repeat_window=seconds(lane.get("window-ns", 0)),
+    for index, class_fields in enumerate(profile["lanes"]):
+        classes[class_fields["name"]] = api.QueryClass(
+            name=class_fields["name"],
+            aim=seconds(class_fields["slo-ns"]),
+            deadline=seconds(class_fields["deadline-ns"]),
+            worth=class_fields["points"],
+            late_value=class_fields["late-value"],
+            effect=EFFECTS[class_fields["idempotency"]],
+            repeat_window=seconds(class_fields.get("window-ns", 0)),
             need=family["class-need"][index],
             floor=min(family["class-floor"][index], family["class-need"][index]),
             partial_value=family["partial-earns"][index],
@@ -107,7 +111,7 @@
 
 
 def parse_entry(line: Fields) -> api.ServerEntry:
-    """One line of an endpoint list."""
+    """Parse one line of an endpoint list."""
     return api.ServerEntry(
         server=line["node"],
         zone=line["locality"],
@@ -119,8 +123,8 @@
     )
 
 
-def parse_ask(fields: Fields) -> api.Event:
-    """A query, or a part of one: the latter has a shard."""
+def parse_request(fields: Fields) -> api.Event:
+    """Parse a query or a part of one; only a part has a shard number of 0 or more."""
     if fields["shard"] >= 0:
         return api.PartArrived(
             part_id=fields["request-id"],
@@ -142,7 +146,7 @@
 
 
 def parse_response(fields: Fields) -> api.Event:
-    """The end of an attempt."""
+    """Parse the end of an attempt."""
     return api.AttemptEnded(
         part_id=fields["request-id"],
         attempt=fields.get("go", 0),
@@ -155,7 +159,7 @@
 
 
 def parse_probe(fields: Fields) -> api.Event:
-    """The end of a probe."""
+    """Parse the end of a probe."""
     return api.ProbeEnded(
         server=fields["node"],
         outcome=OUTCOMES[fields["ending"]],
@@ -165,7 +169,7 @@
 
 
 PARSERS: dict[str, Callable[[Fields], api.Event]] = {
-    "ASK": parse_ask,
+    "ASK": parse_request,
     "RESPONSE": parse_response,
     "PROBE_DONE": parse_probe,
     "DROPPED": lambda fields: api.QueryGone(fields["request-id"]),
@@ -174,7 +178,7 @@
 
 
 def encode(instance: str, action: api.Action) -> dict[str, Fields]:
-    """One action of an instance, as an item of the outbox."""
+    """Encode one action of an instance as an item of the outbox."""
     fields: Fields = {"i": instance}
     match action:
         case api.Send():
@@ -209,7 +213,7 @@
 
 
 class Batch:
-    """What one line does: events by instance, in their order, and the actions that follow."""
+    """The content of one line: events by instance, in their order, and the actions that follow from them."""
 
     __slots__ = ("events", "now", "outbox")
 
@@ -223,15 +227,15 @@
         self.events.setdefault(instance, []).append(event)
 
 
-class Link:
-    """The instances of one process, each with its own aggregator."""
+class SimulatorLink:
+    """Runs the instances of one process, each with its own aggregator."""
 
     def __init__(self) -> None:
         self.aggregators: dict[str, Aggregator] = {}
         self.tables: dict[int, tuple[api.ServerEntry, ...]] = {}
 
     def reply(self, line: str) -> str:
-        """Take one line and return the line that answers it.
+        """Process one line and return the line that answers it.
 
         Raises:
             WireError: The line is malformed.
@@ -242,22 +246,25 @@
             serial = fields["serial"]
             for item in fields["items"]:
                 ((name, item_fields),) = item.items()
-                self._take_item(name, item_fields, batch)
+                self._process_item(name, item_fields, batch)
         except WireError:
             raise
         except (ValueError, KeyError, TypeError, IndexError, AttributeError) as error:
-            raise WireError(f"malformed line: {type(error).__name__}: {error}") from error
+            raise WireError(
+                "the line is not valid JSON, or a field is missing or malformed:"
+                f" {type(error).__name__}: {error}"
+            ) from error
         for instance, events in batch.events.items():
             self._run(instance, events, batch)
         return json.dumps({"serial": serial, "outbox": batch.outbox}, separators=(",", ":"))
 
-    def _take_item(self, name: str, fields: Fields, batch: Batch) -> None:
+    def _process_item(self, name: str, fields: Fields, batch: Batch) -> None:
         if name == "LIST":
             self.tables[fields["table"]] = tuple(parse_entry(line) for line in fields["lines"])
         elif name == "START":
             self._start(fields, batch)
         elif name == "CRASH_NOW":
-            # What came before in this batch dies with the instance.
+            # Earlier events of this batch are lost with the instance.
             self.aggregators.pop(fields["i"], None)
             batch.events.pop(fields["i"], None)
         elif name == "SYNC":
@@ -272,7 +279,7 @@
             settings = parse_settings(fields["profile-data"])
         except (KeyError, ValueError, TypeError, IndexError, AttributeError) as error:
             raise WireError(
-                f"setting missing or malformed: {type(error).__name__}: {error}"
+                f"a setting of the instance is missing or malformed: {type(error).__name__}: {error}"
             ) from error
         self.aggregators[fields["i"]] = Aggregator(settings, fields["prng"])
         batch.events[fields["i"]] = []
@@ -284,15 +291,15 @@
         try:
             actions = aggregator.handle(batch.now, events)
             batch.outbox += [encode(instance, action) for action in actions]
-        except Exception as error:  # noqa: BLE001 - reported to the caller, as the wire wants it
+        except Exception as error:  # noqa: BLE001 - the protocol requires a report to the caller
             text = f"{type(error).__name__}: {error}"
             batch.outbox.append({"INTERNAL_ERROR": {"i": instance, "reason-text": text}})
             print(f"benchlink: {instance}: {text}", file=sys.stderr)
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
-    """Answer line by line until the input ends; 1 after a malformed line, else 0."""
-    link = Link()
+    """Answer each line until the input ends; returns 1 after a malformed line, else 0."""
+    link = SimulatorLink()
     for line in source:
         try:
             reply = link.reply(line)
--- a/stepknot/decisions/selection.py
+++ b/stepknot/decisions/selection.py
@@ -14,8 +14,8 @@
 from stepknot.interface import Effect, Narrow
 
 # The replica with the lowest rank is chosen. The values are, in the order of comparison: whether the replica
-# fails the class, whether it is at beta or bypassed, whether it is unresponsive, its number of calls in flight
-# with penalties, whether it needs a new call, and a random number.
+# fails the class, whether it is at beta or bypassed, whether it is unresponsive, its number of calls in
+# flight with penalties, whether it needs a new call, and a random number.
 Rank = tuple[bool, bool, bool, float, bool, float]
 
 
--- a/stepknot/decisions/slow_start.py
+++ b/stepknot/decisions/slow_start.py
@@ -67,7 +67,7 @@
         """Update the estimated work of a part with a response.
 
         The estimate is a low quantile, which is close to the work of parts that did not wait in a queue. A
-        mean would count queueing as work, so that new servers would get the fewest parts when load is highest.
+        mean would count queueing as work, and new servers would get the fewest parts when load is highest.
         """
         for name in (class_name, ALL_CLASSES):
             found = self.work.get(name)
@@ -92,8 +92,8 @@
         """Whether the server may get one more part of this class.
 
         If the fair share includes a fraction of a part, that fraction of the instances gets a whole part.
-        Each instance draws a random number for this only once: with a new draw each time, every instance would
-        get the part after enough tries.
+        Each instance draws a random number for this only once: with a new draw each time, every instance
+        would get the part after enough tries.
         """
         if not self.is_cold(capsule):
             return True
--- a/stepknot/interface.py
+++ b/stepknot/interface.py
@@ -3,8 +3,8 @@
 A caller creates one `stepknot.Aggregator(settings, seed)` and passes it events with the time at which they
 happened: `handle(now, events) -> list[Action]`. The actions take effect at that time, in their order.
 Times and durations are in seconds; the clock has an arbitrary start and never goes backwards. A query arrives
-as one `QueryArrived`, with its parts as `PartArrived` in the same call. Attempts of a part are numbered from 0
-in the order of their `Send` actions.
+as one `QueryArrived`, with its parts as `PartArrived` in the same call. Attempts of a part are numbered from
+0 in the order of their `Send` actions.
 """
 
 from __future__ import annotations
@@ -62,8 +62,7 @@
 class QueryClass:
     """A class of query: its latency objective, deadline, priority weight, and what may be repeated.
 
-    `aim` is the latency objective. An answer within it earns `worth`, a later one the fraction `late_value` of
-    it.
+    `aim` is the latency objective. An answer within it earns `worth`, a later one `late_value` times `worth`.
     """
 
     name: str
@@ -75,7 +74,7 @@
     repeat_window: float = 0.0
     need: float = 1.0  # minimum share of the weight for a complete answer
     floor: float = 1.0  # minimum share of the weight for any answer
-    partial_value: float = 0.0  # an incomplete answer earns this fraction, times its share / need
+    partial_value: float = 0.0  # an incomplete answer earns `worth` times this times its share / need
     second_step_parts: int = 0
 
     @property
@@ -98,7 +97,8 @@
     cold_time: float  # maximum time until a server has its full capacity
     fall_multiple: float
     fall_time: float
-    ask_within: float = 0.0  # maximum interval between requests for the list (0: no such rule)
+    # Maximum interval between requests for the list while there is no subscription (0: no such rule).
+    ask_within: float = 0.0
     extra_window: float = 0.0  # 0: no limit on further attempts
     extra_floor: float = 0.0
     extra_share: float = 0.0
@@ -147,9 +147,10 @@
     sharers: float = 0.0  # maximum number of instances that send to it while it is cold (0: all)
 
 
-# A rule of the caller that restricts the candidates for a part, such as a limit for a whole zone. The arguments
-# are the time, the candidates, whether the part is safe to repeat (then it may be lost in a trial), and whether
-# its query's first step has been answered. It returns the indexes of the candidates that may be chosen.
+# A rule of the caller that restricts the candidates for a part, such as a limit for a whole zone. The
+# arguments are the time, the candidates, whether the part is safe to repeat (then it may be lost in a trial),
+# and whether its query's first step has been answered. It returns the indexes of the candidates that may be
+# chosen.
 Narrow = Callable[[float, list[ServerEntry], bool, bool], list[int]]
 
 
@@ -225,7 +226,7 @@
 
 @dataclass(slots=True)
 class InstancesCounted:
-    """The maximum number of instances has changed; `instances` replaces the value of the settings.
+    """A new upper bound of the number of running instances; it replaces the value of the settings.
 
     The event is optional: without it the value of the settings applies.
     """
@@ -278,7 +279,10 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Reject a query, as its final answer. Repeating it is harmless, after `retry_after` seconds (0: no advice)."""
+    """Reject a query, as its final answer; repeating it is harmless.
+
+    The client should wait for `retry_after` seconds before it retries (0: no advice).
+    """
 
     query_id: int
     retry_after: float = 0.0
