--- a/bench/planted_defects/decisions.py
+++ b/bench/planted_defects/decisions.py
@@ -23,7 +23,7 @@
         original="now >= self.began_at + rules.fall_time and",
         replacement="True and",
         tests=(
-            "tests/decisions/test_slow_start.py::test_new_process_leaves_the_quota_to_the_one_before",
+            "tests/decisions/test_slow_start.py::test_new_process_sends_nothing_within_the_window_of_its_predecessor",
         ),
         invariant="4",
     ),
@@ -31,7 +31,7 @@
         path="stepknot/decisions/slow_start.py",
         original="return self.quotas.setdefault(server, ColdQuota())",
         replacement="return ColdQuota()",
-        tests=("tests/decisions/test_slow_start.py::test_changed_entry_brings_no_fresh_quota",),
+        tests=("tests/decisions/test_slow_start.py::test_changed_entry_gets_no_new_quota",),
         invariant="4",
     ),
     PlantedDefect(
@@ -46,7 +46,7 @@
         original="self._class_losses.fails_class(capsule, query.query_class.name),",
         replacement="False,",
         tests=(
-            "tests/decisions/test_outlier_detection.py::test_class_that_a_server_loses_goes_elsewhere",
+            "tests/decisions/test_outlier_detection.py::test_class_that_a_server_loses_is_sent_to_another_replica",
         ),
     ),
     PlantedDefect(
@@ -54,7 +54,7 @@
         original="if not is_lost or capsule.latest_served_sent_at > attempt.sent_at:",
         replacement="if True:",
         tests=(
-            "tests/decisions/test_outlier_detection.py::test_pause_is_not_taken_for_a_lost_class",
+            "tests/decisions/test_outlier_detection.py::test_pause_does_not_count_as_a_lost_class",
         ),
     ),
     PlantedDefect(
@@ -167,7 +167,7 @@
         path="stepknot/decisions/capsule.py",
         original="if wait >= expected and left >= MIN_TIME_LEFT_IN_MEANS * expected:",
         replacement="if wait >= expected:",
-        tests=("tests/decisions/test_capsule.py::test_query_with_too_few_means_left_is_rejected",),
+        tests=("tests/decisions/test_capsule.py::test_query_with_too_few_mean_times_left_is_rejected",),
     ),
     PlantedDefect(
         path="stepknot/decisions/selection.py",
@@ -181,7 +181,7 @@
         path="stepknot/decisions/health.py",
         original="memory_time = max(FAILURE_MEMORY_WAITS * base_wait, FAILURE_MEMORY_GAPS * capsule.send_gap)",
         replacement="memory_time = FAILURE_MEMORY_WAITS * base_wait",
-        tests=("tests/decisions/test_health.py::test_failure_is_held_longer_where_sends_are_rare",),
+        tests=("tests/decisions/test_health.py::test_failure_is_remembered_longer_where_sends_are_rare",),
     ),
     PlantedDefect(
         path="stepknot/decisions/outlier_detection.py",
@@ -202,7 +202,7 @@
         original="dispatcher.withdraw(attempt)",
         replacement="pass",
         tests=(
-            "tests/decisions/test_load_shedding.py::test_query_that_is_rejected_for_one_shard_leaves_nothing_out_at_another",
+            "tests/decisions/test_load_shedding.py::test_query_that_is_rejected_for_one_shard_leaves_nothing_in_flight_at_another",
         ),
     ),
     PlantedDefect(
@@ -210,7 +210,7 @@
         original="timers_due.append(event)",
         replacement="self.timers.on_due(event)",
         tests=(
-            "tests/decisions/test_hedging.py::test_backlog_after_a_stall_is_not_taken_for_silence",
+            "tests/decisions/test_hedging.py::test_backlog_after_a_stall_does_not_count_as_unanswered",
         ),
     ),
     PlantedDefect(
@@ -218,7 +218,7 @@
         original="elif known is None or known.entry.up_since != entry.up_since:",
         replacement="elif known is None:",
         tests=(
-            "tests/decisions/test_endpoint_list.py::test_restarted_server_is_not_judged_by_its_past",
+            "tests/decisions/test_endpoint_list.py::test_restarted_server_has_no_failures_of_its_former_process",
         ),
     ),
     PlantedDefect(
--- a/bench/trace_packages/decisions.py
+++ b/bench/trace_packages/decisions.py
@@ -1,7 +1,7 @@
-"""A seeded run of the decision library: all actions with their values, over several settings and troubles.
+"""A seeded run of the decision library under several settings and faults; all actions are digested with their values.
 
-Each setting plays one aggregator against simulated servers that queue, pause, fail, lose a class, start cold,
-drain and vanish. Times are on a virtual clock; all chance is by seed.
+Each scenario runs one aggregator against simulated servers that queue, pause, fail, lose a class of query, start cold,
+drain and disappear. Times are on a virtual clock, and all randomness comes from a seed.
 """
 
 from __future__ import annotations
@@ -48,9 +48,9 @@
 
 EXPECTED = "58e5fa5ee597f0d9ef2a89c9146f5a04d04a03911f324320c19a98faa49064cc"
 
-BEGAN = 500.0  # of the virtual clock
-STRAY_SHARE = 0.02  # of queries: events of unknown things come before them
-GRAIN = 0.002  # events within this time are handed over together
+START = 500.0  # start of the virtual clock, in seconds
+STRAY_SHARE = 0.02  # share of queries that are preceded by events with unknown ids
+BATCH_WINDOW = 0.002  # seconds; events within this time are passed to the aggregator together
 ACTIONS = (Send, Cancel, Answer, Refuse, Fail, SetTimer, Probe, Close, Watch)
 
 CLASSES = {
@@ -87,40 +87,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
-    """What goes wrong from `begin` to `end`, in seconds after the start, at servers whose name has `where`."""
+class Fault:
+    """A fault from `begin` to `end`, in seconds after the start, at servers whose name contains `where`."""
 
     what: str
     begin: float
     end: float
     where: str = ""
-    chance: float = 1.0
+    probability: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One setting with its load and its troubles."""
+    """One setting with its load and its faults. The name is part of the digest."""
 
     name: str
     settings: Settings
-    troubles: tuple[Trouble, ...] = ()
-    rate: float = 60.0  # queries a second
+    faults: tuple[Fault, ...] = ()
+    rate: float = 60.0  # queries per second
     seconds: float = 6.0
     replicas: int = 3
-    work: float = 0.02  # seconds of a server for a part, in the mean
+    work: float = 0.02  # mean seconds of server time per part
     reports: float = 0.0  # share of answers with a load report
-    others: float = 0.0  # parts of other aggregators at a server, in the mean
+    others: float = 0.0  # mean number of other aggregators' parts at a server
     narrow: Narrow | None = None
-    churn: float = 0.0  # changes of the list a second
-    cold: bool = False  # some servers start cold
-    stall: float = 0.0  # seconds without a turn, every second
-    pause: float = 0.0  # seconds without queries, every three seconds
-    gone: float = 0.01  # share of queries whose client leaves
+    churn: float = 0.0  # changes of the list per second
+    cold: bool = False  # whether some servers start cold
+    stall: float = 0.0  # seconds without a turn in each second
+    pause: float = 0.0  # seconds without queries in each three seconds
+    gone: float = 0.01  # share of queries whose client disconnects
 
 
 @dataclass(order=True, slots=True)
 class Due:
-    """Something that happens at a time."""
+    """A scheduled event or step of the simulation."""
 
     at: float
     serial: int
@@ -133,14 +133,14 @@
 
     def __init__(self, scenario: Scenario, seed: int, trace: Trace) -> None:
         self.scenario, self.trace = scenario, trace
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.aggregator = Aggregator(scenario.settings, seed, scenario.narrow)
-        self.now, self.serial, self.last_id = BEGAN, 0, 0
+        self.now, self.serial, self.last_id = START, 0, 0
         self.heap: list[Due] = []
-        self.free: dict[str, float] = {}  # when a server has worked off its queue
-        self.out: dict[tuple[int, int], tuple[str, float]] = {}  # attempts: server, sent
+        self.free_at: dict[str, float] = {}  # by server: when its queue will be empty
+        self.in_flight: dict[tuple[int, int], tuple[str, float]] = {}  # by attempt: server, send time
         self.class_of: dict[int, str] = {}  # by part
-        self.open: dict[int, tuple[int, str, bool]] = {}  # by query: number, class, first answered
+        self.open: dict[int, tuple[int, str, bool]] = {}  # by query: number, class, whether its first step is answered
         cells = scenario.settings.cells
         self.entries = {
             f"s{cell}{letter}": ServerEntry(
@@ -168,13 +168,13 @@
         self.schedule(0.0, "query")
         if scenario.churn:
             self.schedule(0.3, "churn")
-        end = BEGAN + scenario.seconds
+        end = START + scenario.seconds
         while self.heap and self.heap[0].at <= end:
             self.now = max(self.heap[0].at, self.now)
             if scenario.stall and self.now % 1.0 < scenario.stall:
                 self.now += scenario.stall
             events: list[Event] = []
-            while self.heap and self.heap[0].at <= self.now + GRAIN:
+            while self.heap and self.heap[0].at <= self.now + BATCH_WINDOW:
                 due = heapq.heappop(self.heap)
                 if due.event is not None:
                     events += self.arrive(due.event)
@@ -182,7 +182,7 @@
                     events += self.ask()
                 else:
                     events += self.change_list()
-            self.now += GRAIN
+            self.now += BATCH_WINDOW
             if events:
                 self.handle(events)
 
@@ -195,10 +195,10 @@
             self.carry_out(action)
 
     def arrive(self, event: Event) -> list[Event]:
-        """What is left of an event at its time: an attempt ends once only."""
+        """The event to pass on, if any: an attempt ends only once, and its elapsed time is known only now."""
         if not isinstance(event, AttemptEnded):
             return [event]
-        found = self.out.pop((event.part_id, event.attempt), None)
+        found = self.in_flight.pop((event.part_id, event.attempt), None)
         if found is None:
             return []
         return [replace(event, elapsed=self.now - found[1])]
@@ -210,27 +210,27 @@
         return self.last_id
 
     def ask(self) -> list[Event]:
-        scenario, chance = self.scenario, self.chance
-        gap = chance.expovariate(scenario.rate)
-        if scenario.pause and (self.now - BEGAN) % 3.0 > 3.0 - scenario.pause:
+        scenario, rng = self.scenario, self.rng
+        gap = rng.expovariate(scenario.rate)
+        if scenario.pause and (self.now - START) % 3.0 > 3.0 - scenario.pause:
             gap += scenario.pause
         self.schedule(gap, "query")
-        name = chance.choice(
-            [*scenario.settings.classes, "unknown" if chance.random() < 0.05 else "some"]
+        name = rng.choice(
+            [*scenario.settings.classes, "unknown" if rng.random() < 0.05 else "some"]
         )
         kind = scenario.settings.classes.get(name, CLASSES["some"])
         query, number = self.new_id(), self.new_id() + 10**6
-        left = kind.deadline if chance.random() < 0.9 else chance.uniform(0.0, 0.3)
-        if chance.random() < scenario.gone:
-            self.schedule(chance.uniform(0.0, 0.3), "event", QueryGone(query))
+        remaining = kind.deadline if rng.random() < 0.9 else rng.uniform(0.0, 0.3)
+        if rng.random() < scenario.gone:
+            self.schedule(rng.uniform(0.0, 0.3), "event", QueryGone(query))
         events: list[Event] = self.stray_events()
-        events.append(QueryArrived(query, number, name, self.now + left))
+        events.append(QueryArrived(query, number, name, self.now + remaining))
         self.open[query] = (number, name, False)
-        return events + self.parts(number, name, chance.choice([0, 1, 1, 2, 2, 3, 4]))
+        return events + self.parts(number, name, rng.choice([0, 1, 1, 2, 2, 3, 4]))
 
     def stray_events(self) -> list[Event]:
-        """Events of what the aggregator does not know, or knows no longer."""
-        if self.chance.random() >= STRAY_SHARE:
+        """Events with ids that the aggregator does not know."""
+        if self.rng.random() >= STRAY_SHARE:
             return []
         unknown = 10**9
         return [
@@ -242,51 +242,51 @@
         ]
 
     def parts(self, number: int, name: str, count: int) -> list[Event]:
-        chance, events = self.chance, list[Event]()
+        rng, events = self.rng, list[Event]()
         for _ in range(count):
             part = self.new_id()
             self.class_of[part] = name
-            shard = chance.randrange(self.scenario.settings.cells)
+            shard = rng.randrange(self.scenario.settings.cells)
             events.append(PartArrived(part, number, shard, 1 / count))
         return events
 
     # --- servers
 
-    def troubled(self, what: str, server: str) -> bool:
-        passed = self.now - BEGAN
+    def has_fault(self, what: str, server: str) -> bool:
+        passed = self.now - START
         return any(
             each.what == what
             and each.begin <= passed < each.end
             and each.where in server
-            and self.chance.random() < each.chance
-            for each in self.scenario.troubles
+            and self.rng.random() < each.probability
+            for each in self.scenario.faults
         )
 
     def report(self, server: str) -> dict[str, float]:
-        if self.chance.random() >= self.scenario.reports:
+        if self.rng.random() >= self.scenario.reports:
             return {}
-        held = self.chance.expovariate(1.0) * self.scenario.others
-        held += max(self.free.get(server, 0.0) - self.now, 0.0) / self.scenario.work
-        return self.chance.choice(
+        held = self.rng.expovariate(1.0) * self.scenario.others
+        held += max(self.free_at.get(server, 0.0) - self.now, 0.0) / self.scenario.work
+        return self.rng.choice(
             [
                 {"inflight": held},
                 {"inflight": float(int(held))},
                 {"queue": float(int(held)), "util": 0.5, "qps": 3.0},
-                {"queue": held} if self.chance.random() < 0.8 else {"inflight": math.nan},
-                {"qps": 3.0} if self.chance.random() < 0.5 else {"inflight": -1.0},
+                {"queue": held} if self.rng.random() < 0.8 else {"inflight": math.nan},
+                {"qps": 3.0} if self.rng.random() < 0.5 else {"inflight": -1.0},
             ]
         )
 
     def carry_out(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             self.schedule(max(action.at - self.now, 0.0), "event", TimerDue(action.token))
-            if self.chance.random() < 0.02:  # a caller may be early, or fire twice
+            if self.rng.random() < 0.02:  # a caller may fire a timer early, or twice
                 self.schedule(max(action.at - self.now, 0.0) / 2, "event", TimerDue(action.token))
         elif isinstance(action, Send):
             self.send(action)
         elif isinstance(action, Cancel):
-            found = self.out.get((action.part_id, action.attempt))
-            if found is not None:  # else its end is an event of this same turn
+            found = self.in_flight.get((action.part_id, action.attempt))
+            if found is not None:  # otherwise its end was an event of the same turn
                 part, attempt = action.part_id, action.attempt
                 self.end_after(0.001, part, attempt, found[0], Outcome.CANCELLED)
         elif isinstance(action, Probe):
@@ -296,7 +296,7 @@
         elif isinstance(action, Refuse | Fail):
             self.open.pop(action.query_id, None)
         elif isinstance(action, Watch):
-            failed = self.troubled("list", "list")
+            failed = self.has_fault("list", "list")
             event = (
                 ListReceived(ListKind.FAILED)
                 if failed
@@ -324,9 +324,9 @@
 
     def send(self, action: Send) -> None:
         part, attempt, server = action.part_id, action.attempt, action.server
-        self.out[part, attempt] = (server, self.now)
+        self.in_flight[part, attempt] = (server, self.now)
         name = self.class_of[part]
-        wait, chance = action.timeout, self.chance
+        wait, rng = action.timeout, self.rng
         gone = server not in self.entries
         for what, outcome, after in (
             ("error", Outcome.ERROR, 0.004),
@@ -335,34 +335,34 @@
             ("refused", Outcome.NOT_CONNECTED, 0.002),
             ("not sent", Outcome.NOT_SENT, 0.001),
         ):
-            if self.troubled(what, server) or (gone and what == "refused"):
+            if self.has_fault(what, server) or (gone and what == "refused"):
                 self.end_after(min(after, wait), part, attempt, server, outcome)
                 return
-        if self.troubled("silent", server) or (
-            name in ("keyed", "all") and self.troubled("deaf", server)
+        if self.has_fault("unresponsive", server) or (
+            name in ("keyed", "all") and self.has_fault("class_loss", server)
         ):
             self.end_after(wait, part, attempt, server, Outcome.TIMED_OUT)
             return
-        work = chance.expovariate(1 / self.scenario.work)
-        work *= 6.0 if self.troubled("slow", server) else 1.0
-        begin = max(self.free.get(server, 0.0), self.now)
-        if self.troubled("paused", server):
+        work = rng.expovariate(1 / self.scenario.work)
+        work *= 6.0 if self.has_fault("slow", server) else 1.0
+        begin = max(self.free_at.get(server, 0.0), self.now)
+        if self.has_fault("paused", server):
             begin = max(begin, self.now + 0.35)
-        self.free[server] = begin + work
+        self.free_at[server] = begin + work
         took = begin + work - self.now + 0.001
         outcome = Outcome.SERVED if took <= wait else Outcome.TIMED_OUT
         self.end_after(min(took, wait), part, attempt, server, outcome)
 
     def probe(self, server: str) -> None:
-        if server not in self.entries or self.troubled("refused", server):
+        if server not in self.entries or self.has_fault("refused", server):
             ended = ProbeEnded(server, Outcome.NOT_CONNECTED, 0.002)
-        elif self.troubled("silent", server) or self.troubled("paused", server):
+        elif self.has_fault("unresponsive", server) or self.has_fault("paused", server):
             self.schedule(0.2, "event", ProbeEnded(server, Outcome.TIMED_OUT, 0.2))
             return
         else:
-            outcome = self.chance.choice([Outcome.SERVED] * 8 + [Outcome.REJECTED, Outcome.ERROR])
+            outcome = self.rng.choice([Outcome.SERVED] * 8 + [Outcome.REJECTED, Outcome.ERROR])
             ended = ProbeEnded(server, outcome, 0.002, self.report(server))
-        self.schedule(self.chance.uniform(0.001, 0.02), "event", ended)
+        self.schedule(self.rng.uniform(0.001, 0.02), "event", ended)
 
     # --- the endpoint list
 
@@ -374,20 +374,20 @@
 
     def change_list(self) -> list[Event]:
         """One change, as an update, a full list or a failure."""
-        chance = self.chance
-        self.schedule(chance.expovariate(self.scenario.churn), "churn")
-        server = chance.choice(sorted(self.entries))
+        rng = self.rng
+        self.schedule(rng.expovariate(self.scenario.churn), "churn")
+        server = rng.choice(sorted(self.entries))
         entry = self.entries[server]
-        change = chance.choice(
+        change = rng.choice(
             ["drain", "gone", "back", "cold", "size", "full", "failed", "counted"]
         )
         if change == "full":
-            left = [each for each in self.entries.values() if chance.random() < 0.95]
-            return [ListReceived(ListKind.FULL, tuple(left))]
+            remaining = [each for each in self.entries.values() if rng.random() < 0.95]
+            return [ListReceived(ListKind.FULL, tuple(remaining))]
         if change == "failed":
             return [ListReceived(ListKind.FAILED)]
         if change == "counted":
-            return [InstancesCounted(chance.choice([0, 1, 4, 40]))]
+            return [InstancesCounted(rng.choice([0, 1, 4, 40]))]
         changed = {
             "drain": replace(entry, state=ServerState.DRAINING),
             "gone": replace(entry, state=ServerState.GONE),
@@ -399,29 +399,29 @@
         return [ListReceived(ListKind.CHANGES, (changed,))]
 
 
-def narrow_by_zone(now: float, entries: list[ServerEntry], safe: bool, owed: bool) -> list[int]:
-    """Candidates that a caller's rule leaves: for safe parts one zone only, by turns of a second."""
-    if owed or not safe:
+def narrow_by_zone(now: float, entries: list[ServerEntry], is_safe: bool, is_second_step: bool) -> list[int]:
+    """A rule that restricts safe parts to one zone, which alternates every second."""
+    if is_second_step or not is_safe:
         return list(range(len(entries)))
     zone = "east" if int(now) % 2 else "west"
     return [place for place, entry in enumerate(entries) if entry.zone == zone]
 
 
 def limits(**changes: object) -> Limits:
-    """The base limits with some changed."""
+    """The base limits with some values changed."""
     return replace(LIMITS, **changes)  # type: ignore[arg-type]
 
 
 MIXED = (
-    Trouble("error", 0.8, 1.6, "s0a"),
-    Trouble("reset", 1.5, 2.5, "a", 0.4),
-    Trouble("silent", 2.0, 3.0, "s1"),
-    Trouble("paused", 3.0, 3.4, "s2b"),
-    Trouble("slow", 3.2, 4.2, "s3"),
-    Trouble("reject", 4.0, 4.6, "b", 0.5),
-    Trouble("refused", 4.4, 5.0, "c", 0.5),
-    Trouble("not sent", 5.0, 5.4, "", 0.1),
-    Trouble("paused", 5.2, 5.6, "a"),
+    Fault("error", 0.8, 1.6, "s0a"),
+    Fault("reset", 1.5, 2.5, "a", 0.4),
+    Fault("unresponsive", 2.0, 3.0, "s1"),
+    Fault("paused", 3.0, 3.4, "s2b"),
+    Fault("slow", 3.2, 4.2, "s3"),
+    Fault("reject", 4.0, 4.6, "b", 0.5),
+    Fault("refused", 4.4, 5.0, "c", 0.5),
+    Fault("not sent", 5.0, 5.4, "", 0.1),
+    Fault("paused", 5.2, 5.6, "a"),
 )
 SCENARIOS = (
     Scenario("calm", BASE, (), rate=30.0, seconds=3.0),
@@ -444,7 +444,7 @@
     Scenario(
         "probes of an idle fleet",
         replace(BASE, limits=limits(probing=True)),
-        (Trouble("silent", 1.5, 2.2, "s0"),),
+        (Fault("unresponsive", 1.5, 2.2, "s0"),),
         rate=25.0,
         seconds=4.0,
         reports=1.0,
@@ -460,7 +460,7 @@
                 cancelling=False, second_copies=False, retry_after=False, idle_connection=3.0
             ),
         ),
-        (*MIXED, Trouble("list", 0.0, 3.0, "", 0.7)),
+        (*MIXED, Fault("list", 0.0, 3.0, "", 0.7)),
         seconds=5.0,
         churn=2.0,
     ),
@@ -477,7 +477,7 @@
     Scenario(
         "cold servers, many instances",
         replace(BASE, instances=60, parts_per_call=2),
-        (Trouble("error", 1.0, 4.0, "a", 0.5),),
+        (Fault("error", 1.0, 4.0, "a", 0.5),),
         rate=80.0,
         seconds=5.0,
         churn=1.0,
@@ -487,7 +487,7 @@
     Scenario(
         "overload",
         replace(BASE, cells=2, limits=limits(max_attempts=2)),
-        (Trouble("slow", 2.0, 3.0, "a"),),
+        (Fault("slow", 2.0, 3.0, "a"),),
         rate=160.0,
         seconds=4.0,
         work=0.03,
@@ -497,25 +497,25 @@
     Scenario(
         "outage of all",
         replace(BASE, cells=2),
-        (Trouble("silent", 1.0, 3.0),),
+        (Fault("unresponsive", 1.0, 3.0),),
         rate=60.0,
         seconds=6.0,
     ),
     Scenario(
         "slow outage of all",
         replace(BASE, cells=2, classes={name: CLASSES[name] for name in ("all", "keyed")}),
-        (Trouble("silent", 1.0, 3.5), Trouble("refused", 4.0, 4.6)),
+        (Fault("unresponsive", 1.0, 3.5), Fault("refused", 4.0, 4.6)),
         rate=40.0,
         seconds=6.0,
         work=0.05,
     ),
     Scenario(
-        "classes lost at some servers", BASE, (Trouble("deaf", 0.5, 5.0, "a", 0.8),), rate=70.0
+        "classes lost at some servers", BASE, (Fault("class_loss", 0.5, 5.0, "a", 0.8),), rate=70.0
     ),
     Scenario(
         "one class lost at most servers",
         replace(BASE, cells=2, classes={name: CLASSES[name] for name in ("all", "some")}),
-        (Trouble("deaf", 0.5, 3.0, "a"), Trouble("deaf", 1.0, 2.5, "b", 0.9)),
+        (Fault("class_loss", 0.5, 3.0, "a"), Fault("class_loss", 1.0, 2.5, "b", 0.9)),
         rate=60.0,
         replicas=2,
         seconds=4.0,
@@ -535,7 +535,7 @@
     Scenario(
         "idle connections dropped",
         replace(BASE, cells=2, limits=limits(idle_connection=30.0, second_copies=False)),
-        tuple(Trouble("silent", 3.0 * turn, 3.0 * turn + 0.45) for turn in range(1, 8)),
+        tuple(Fault("unresponsive", 3.0 * turn, 3.0 * turn + 0.45) for turn in range(1, 8)),
         rate=12.0,
         seconds=18.0,
         replicas=2,
@@ -546,7 +546,7 @@
 
 
 def record(trace: Trace) -> None:
-    """Play each scenario by a seed of its own."""
+    """Run each scenario with its own seed."""
     for seed, scenario in enumerate(SCENARIOS):
         trace.add(scenario.name)
         World(scenario, seed + 1, trace).play()
--- a/tests/decisions/steps.py
+++ b/tests/decisions/steps.py
@@ -1,4 +1,4 @@
-"""Steps that several tests of the decision library share."""
+"""Helper functions that several tests of the decision library share."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def run_queries(driver: Driver, rounds: int, elapsed: float) -> None:
-    """Run queries one after another; each part takes `elapsed`."""
+    """Run queries one after another; each part takes `elapsed` seconds."""
     for _ in range(rounds):
         query = driver.query("all", [0, 1])
         driver.at(driver.now + elapsed)
@@ -16,7 +16,7 @@
 
 
 def next_timer(driver: Driver) -> TimerDue:
-    """Go to the first timer that the last reply set; returns it as due."""
+    """Advance the clock to the first timer that the last reply set; returns its event."""
     timer = min(
         (action for action in driver.acts if isinstance(action, SetTimer)), key=lambda each: each.at
     )
@@ -25,7 +25,7 @@
 
 
 def probing_driver(**changes: object) -> Driver:
-    """A driver with three replicas of one shard, where probes are allowed."""
+    """A driver with three replicas of one shard, with probes allowed."""
     return Driver(make_settings(limits=limits(probing=True), **changes), fleet=FLEET[:3])
 
 
@@ -35,7 +35,7 @@
 
 
 def fire_timers(driver: Driver, before: float) -> None:
-    """Let the timers of the last reply come due, in order, as far as `before`."""
+    """Fire the timers of the last reply that are due before `before`, in order."""
     due = [act for act in driver.acts if isinstance(act, SetTimer) and act.at < before]
     for timer in sorted(due, key=lambda act: act.at):
         driver.at(timer.at)
@@ -43,7 +43,12 @@
 
 
 def play_pauses(lost_when_idle: bool, lost_in_use: bool) -> list[object]:
-    """Pause between pairs of queries of which parts are lost as said; returns the last reply's actions."""
+    """Run pairs of queries with a pause before each pair; returns the actions of the last reply.
+
+    Args:
+        lost_when_idle: Whether the part of each first query, which follows the pause, is lost.
+        lost_in_use: Whether the part of each second query is lost.
+    """
     driver = Driver(
         make_settings(limits=limits(idle_connection=30.0, second_copies=False)), fleet=FLEET[:1]
     )
@@ -64,12 +69,12 @@
     return list(driver.acts)
 
 
-def set_known(driver: Driver, mean: float = 0.02, out: float = 2.0) -> None:
-    """Let all servers have answered a moment ago, in this mean time with so many out."""
+def set_means(driver: Driver, mean: float = 0.02, in_flight: float = 2.0) -> None:
+    """Set the means of all servers as if they had just answered, with this many parts in flight."""
     for capsule in (*driver.aggregator.capsules.values(), driver.aggregator.throttle.fleet):
         capsule.responses, capsule.last_response_at, capsule.mean_time, capsule.mean_in_flight = (
             50,
             driver.now,
             mean,
-            out,
+            in_flight,
         )
--- a/tests/decisions/test_answers.py
+++ b/tests/decisions/test_answers.py
@@ -1,4 +1,4 @@
-"""A query from its arrival to its final answer."""
+"""Queries from their arrival to the final answer."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     assert driver.end(second) == [Answer(query, True)]
 
 
-def test_query_is_answered_from_what_came_at_the_end_of_its_wait() -> None:
+def test_query_is_answered_from_the_parts_served_at_the_end_of_its_wait() -> None:
     driver = Driver()
     query = driver.query("some", [0, 1])
     first, second = driver.parts[query]
@@ -95,8 +95,8 @@
     assert plain.finals[plain.query("all", [0])] == Refuse(2, 0.0)
 
 
-def test_query_worth_a_late_answer_waits_for_what_is_out() -> None:
-    """Searches ended at their aim and clients retried them: the fleet did all their work twice."""
+def test_query_worth_a_late_answer_waits_for_attempts_in_flight() -> None:
+    """A query that ended at its latency objective was retried by its client, so the fleet did its work twice."""
     driver = Driver()
     query = driver.query("late", [0, 1])
     assert all(send.timeout > 2.9 for send in driver.sends())
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list and its watch."""
+"""The endpoint list and the watch for its changes."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     (timer,) = [action for action in driver.acts if isinstance(action, SetTimer)]
     assert driver.now < timer.at <= driver.now + driver.settings.rules.ask_within / 4
     driver.query("all", [0])
-    assert driver.sends()  # the old list still holds
+    assert driver.sends()  # the old list is still used
     driver.end(next(iter(driver.parts[next(iter(driver.kinds))])))
     driver.at(timer.at)
     assert driver.handle(TimerDue(timer.token)) == [Watch()]
 
 
-def test_restarted_server_is_not_judged_by_its_past() -> None:
+def test_restarted_server_has_no_failures_of_its_former_process() -> None:
     driver = Driver(fleet=FLEET[:2])
     busy_server = driver.aggregator.capsules["s0a"]
     for _ in range(4):
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -1,4 +1,4 @@
-"""Load reports, probes and the memory of failures."""
+"""Load reports, probes and remembered failures."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
     for _ in range(2):
         driver.query("all", [0])
         chosen.add(driver.sends()[0].server)
-    assert "s0a" in chosen  # a healed server gets its share back
+    assert "s0a" in chosen  # a server that has recovered gets its share again
 
 
 def test_time_out_at_a_server_that_answers_others_is_no_failure() -> None:
-    """Failures held after an overload concentrated the work on a few servers and left others idle."""
+    """Failures remembered after an overload concentrated the work on a few servers and left others idle."""
     driver = Driver(fleet=FLEET[:1])
     late, good = driver.queries(("all", [0], None, None), ("all", [0], None, None))
     driver.at(driver.now + 0.5)
@@ -43,10 +43,10 @@
     assert driver.aggregator.failures.count(driver.aggregator.capsules["s0a"]) == 0
 
 
-def test_errors_are_held_up_to_a_bound_and_time_outs_without_one() -> None:
-    """Resets at all servers alike concentrated the work on the server that happened to have had fewest."""
+def test_errors_are_remembered_up_to_a_bound_and_time_outs_without_one() -> None:
+    """When all servers reset connections, the work concentrated on the one that happened to have the fewest resets."""
     driver = Driver(fleet=FLEET[:1])
-    for outcome, held in [(Outcome.RESET, 3), (Outcome.TIMED_OUT, 9)]:
+    for outcome, remembered in [(Outcome.RESET, 3), (Outcome.TIMED_OUT, 9)]:
         for _ in range(6):
             query = driver.query("some", [0])
             (part,) = driver.parts[query]
@@ -54,11 +54,11 @@
             if driver.out():
                 driver.gone(query)
                 driver.end(part, Outcome.CANCELLED, attempt=1)
-        assert driver.aggregator.failures.count(driver.aggregator.capsules["s0a"]) == held
+        assert driver.aggregator.failures.count(driver.aggregator.capsules["s0a"]) == remembered
 
 
 def test_replicas_are_probed_before_a_send() -> None:
-    """With dozens of aggregators own counts are 0 or 1: the choice was blind."""
+    """With dozens of aggregators an own count is 0 or 1, which made the choice of a replica arbitrary."""
     driver = probing_driver()
     driver.query("all", [0])
     assert {act.server for act in driver.acts if isinstance(act, Probe)} == {"s0a", "s0b", "s0c"}
@@ -72,7 +72,7 @@
 
 
 def test_replica_that_does_not_answer_its_probe_gets_no_part() -> None:
-    """Servers that are down, cut off or stand still each cost a part until they were known."""
+    """Each server that was down, unreachable or paused lost a part before it was detected."""
     driver = probing_driver()
     driver.query("all", [0])
     due = min((act for act in driver.acts if isinstance(act, SetTimer)), key=lambda act: act.at)
@@ -105,7 +105,7 @@
     driver.query("all", [0])
     assert any(
         isinstance(act, Probe) for act in driver.acts
-    )  # old reports are asked for again by probes
+    )  # servers with old reports are probed again
 
 
 def test_reports_of_an_idle_fleet_make_probes_needless() -> None:
@@ -117,7 +117,7 @@
 
 
 def test_replica_that_reports_a_queue_is_better_than_one_that_does_not_answer() -> None:
-    """A slow link: the near replica's queue made the far ones look better, which could not be reached."""
+    """Over a slow link, the near replica's queue made far replicas look better although they were unreachable."""
     driver = probing_driver()
     driver.query("all", [0])
     due = min((act for act in driver.acts if isinstance(act, SetTimer)), key=lambda act: act.at)
@@ -127,21 +127,21 @@
     assert [send.server for send in driver.sends()] == ["s0b"]
 
 
-def test_failure_is_held_longer_where_sends_are_rare() -> None:
-    """Servers slowed for half a minute; an instance that sent to each every 12 s had forgotten by then."""
+def test_failure_is_remembered_longer_where_sends_are_rare() -> None:
+    """Servers were slow for half a minute; an instance that sent to each every 12 s forgot each failure in between."""
     driver = Driver(fleet=FLEET[:1])
-    for gap, held in ((0.5, 0), (20.0, 1)):
+    for gap, remembered in ((0.5, 0), (20.0, 1)):
         driver.end(next(iter(driver.parts[driver.query("all", [0])])))
         driver.at(driver.now + gap)
         query = driver.query("all", [0])
         driver.end(next(iter(driver.parts[query])), Outcome.TIMED_OUT, 0.95)
         driver.at(driver.now + 20.0)
         driver.handle()
-        assert driver.aggregator.failures.count(driver.aggregator.capsules["s0a"]) == held
+        assert driver.aggregator.failures.count(driver.aggregator.capsules["s0a"]) == remembered
 
 
-def test_reports_that_nothing_renews_do_not_keep_rejecting() -> None:
-    """For 20 s after a burst all queries were rejected by reports from the burst: no send, no new report."""
+def test_old_reports_do_not_keep_queries_rejected() -> None:
+    """For 20 s after a burst, load reports from the burst rejected all queries; without sends no new reports came."""
     driver = Driver(fleet=FLEET[:3])
     query = driver.query("some", [0])
     (part,) = driver.parts[query]
--- a/tests/decisions/test_hedging.py
+++ b/tests/decisions/test_hedging.py
@@ -7,7 +7,7 @@
 from stepknot.decisions.capsule import BETA_SHARE
 from stepknot.decisions.records import Call
 from stepknot.interface import Answer, Outcome, Refuse, SetTimer, TimerDue
-from tests.decisions.steps import next_timer, set_known
+from tests.decisions.steps import next_timer, set_means
 from tests.helpers import FLEET, Driver
 
 pytestmark = pytest.mark.cpu_only
@@ -17,20 +17,20 @@
     driver = Driver(fleet=FLEET[:2])
     query = driver.query("all", [0])
     (part,) = driver.parts[query]
-    silent = driver.attempts[part][0][0]
+    unresponsive = driver.attempts[part][0][0]
     driver.handle(next_timer(driver))
-    (copy,) = driver.sends()
-    assert copy.server != silent
+    (hedge,) = driver.sends()
+    assert hedge.server != unresponsive
     driver.end(part, attempt=1)
     assert driver.finals[query] == Answer(query, True)
     driver.query("all", [0])
     assert (
-        driver.sends()[0].server == copy.server
-    )  # silence counts as a failure before the time-out
+        driver.sends()[0].server == hedge.server
+    )  # an overdue attempt counts as a failure before its time-out
 
 
 def test_overdue_part_is_hedged_though_its_server_answers_others() -> None:
-    """Answers lost on the way: the server is well, the part does not come back."""
+    """An answer may be lost in the network while its server is healthy."""
     driver = Driver(fleet=FLEET[:1])
     lost = driver.query("all", [0])
     (part,) = driver.parts[lost]
@@ -48,11 +48,11 @@
     assert [send.server != server for send in driver.sends()] == [True]
     assert (
         driver.aggregator.failures.count(driver.aggregator.capsules[server]) == 0
-    )  # it is not held to be silent
+    )  # it does not count as failing
 
 
-def test_backlog_after_a_stall_is_not_taken_for_silence() -> None:
-    """Timers of a stalled aggregator came before the answers that had arrived meanwhile."""
+def test_backlog_after_a_stall_does_not_count_as_unanswered() -> None:
+    """After a stall of the aggregator, timers were processed before the answers that had arrived during it."""
     driver = Driver(fleet=FLEET[:2])
     query = driver.query("all", [0])
     (part,) = driver.parts[query]
@@ -65,36 +65,38 @@
 
 
 def test_unresponsive_server_is_chosen_last_and_its_parts_are_hedged() -> None:
-    """Three of four late queries on sockets had a part at a server that answered nothing for 120 ms and more. With a
-    queue its mean is long, and a copy after four means comes too late.
+    """Over sockets, three of four late queries had a part at a server that sent nothing for 120 ms or more. With a
+    queue the server's mean is long, so a hedge after four means is sent too late.
     """
     driver = Driver(fleet=FLEET[:2])
-    set_known(driver, mean=0.2, out=20.0)
-    still = "s0a"
+    set_means(driver, mean=0.2, in_flight=20.0)
+    paused = "s0a"
     first = [driver.query("all", [0]) for _ in range(6)]
-    stuck = [part for part, _ in driver.out() if driver.attempts[part][0][0] == still]
+    unanswered = [part for part, _ in driver.out() if driver.attempts[part][0][0] == paused]
     driver.handle(
-        *[driver.ended(*key, Outcome.SERVED, 0.02) for key in driver.out() if key[0] not in stuck]
+        *[driver.ended(*key, Outcome.SERVED, 0.02) for key in driver.out() if key[0] not in unanswered]
     )
     driver.at(driver.now + 0.1)
     driver.fire()
-    assert stuck and all(
-        driver.attempts[part][1][0] != still for part in stuck
-    )  # hedged, at half of its mean
+    assert unanswered and all(
+        driver.attempts[part][1][0] != paused for part in unanswered
+    )  # hedged after half of the server's mean
     later = [driver.query("all", [0]) for _ in range(4)]
     assert {driver.attempts[part][0][0] for query in later for part in driver.parts[query]} == {
         "s0b"
     }
-    driver.end(stuck[0], elapsed=0.1)  # it goes on
+    driver.end(unanswered[0], elapsed=0.1)  # the server answers again
     driver.query("all", [0])
-    assert still in {driver.attempts[part][0][0] for part, _ in driver.out() if part not in stuck}
+    assert paused in {driver.attempts[part][0][0] for part, _ in driver.out() if part not in unanswered}
     assert all(not isinstance(driver.finals.get(query), Refuse) for query in first)
 
 
 def test_hedge_of_an_unresponsive_server_may_go_to_a_busy_replica() -> None:
-    """A copy after four means goes to idle servers only, so that it feeds no jam; here the first try hardly ran."""
+    """A hedge of an overdue part is sent to idle servers only, to avoid overload. Here the first attempt has done
+    little work, so a busier replica is allowed.
+    """
     driver = Driver(fleet=FLEET[:2])
-    set_known(driver, mean=0.2, out=20.0)
+    set_means(driver, mean=0.2, in_flight=20.0)
     beta = BETA_SHARE * driver.aggregator.throttle.base_wait / 0.01
     query = driver.query("all", [0])
     (part,) = driver.parts[query]
--- a/tests/decisions/test_load_shedding.py
+++ b/tests/decisions/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""What is sent near the bounds, and what is rejected."""
+"""Which queries are sent and which are rejected near beta."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 pytestmark = pytest.mark.cpu_only
 
 
-def test_near_beta_work_goes_where_it_earns_most() -> None:
-    def taken(kind: str) -> int:
+def test_near_beta_queries_of_higher_worth_are_preferred() -> None:
+    def accepted(kind: str) -> int:
         driver = Driver()
         run_queries(driver, 20, 0.1)
         rejected = sum(driver.query(kind, [0]) in driver.finals for _ in range(60))
         return 60 - rejected
 
-    assert taken("keyed") > taken("all") > 0  # twice the worth for a part
+    assert accepted("keyed") > accepted("all") > 0  # "keyed" has twice the worth per part
 
 
 def test_second_step_is_sent_though_its_servers_are_full() -> None:
-    """The work of the first step was wasted when the second step was rejected."""
+    """A rejected second step wasted the work of the first step."""
     driver = probing_driver()
     query = driver.query("steps", [0])
     driver.handle(*(probe_reply(server, inflight=0) for server in ("s0a", "s0b", "s0c")))
@@ -40,8 +40,8 @@
     assert len(driver.sends()) == 1 and query not in driver.finals
 
 
-def test_query_that_is_rejected_for_one_shard_leaves_nothing_out_at_another() -> None:
-    driver = Driver(fleet=FLEET[:3])  # none of them holds shard 1
+def test_query_that_is_rejected_for_one_shard_leaves_nothing_in_flight_at_another() -> None:
+    driver = Driver(fleet=FLEET[:3])  # no server holds shard 1
     query = driver.query("all", [0, 1])
     assert isinstance(driver.finals[query], Refuse) and not driver.sends()
     assert [len(each.calls) for each in driver.aggregator.capsules.values()] == [0, 0, 0]
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outages, lost classes, and faults that servers share."""
+"""Outages of all servers, classes lost at a server, and faults that servers share."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from stepknot.decisions.records import DecayingShare
 from stepknot.interface import Answer, Close, Outcome, Send
-from tests.decisions.steps import play_pauses, run_queries, set_known
+from tests.decisions.steps import play_pauses, run_queries, set_means
 from tests.helpers import FLEET, Driver, entry, limits, make_settings
 
 pytestmark = pytest.mark.cpu_only
 
 
 def test_outage_of_all_ends_with_the_answer_to_a_trial() -> None:
-    """All parts were bypassed by the means of the outage, nothing was sent, and nothing came back."""
+    """The means from the outage bypassed all parts; nothing was sent, so no response could correct the means."""
     driver = Driver()
     kind = driver.settings.classes["all"]
     run_queries(driver, 20, 0.05)
@@ -30,14 +30,14 @@
 
 
 def test_idle_connections_that_lose_parts_are_closed_before_the_next_send() -> None:
-    """Connections dropped unseen: a third of the parts sent after a pause got no answer, none on new ones."""
+    """Idle connections dropped without notice lost a third of the parts sent after a pause; new ones lost none."""
     kinds = [type(act) for act in play_pauses(lost_when_idle=True, lost_in_use=False)]
     assert Close in kinds and kinds.index(Close) < kinds.index(Send)
     assert not any(isinstance(act, Close) for act in play_pauses(False, False))
 
 
 def test_losses_at_one_kind_of_machine_count_at_others_of_its_kind() -> None:
-    """Half of the attempts at one kind were reset for some instances; each server was learnt by itself."""
+    """For some instances half of the attempts at one kind were reset, and each server was detected separately."""
     alike = [entry(f"s{cell}{letter}", cell, kind="old") for cell in range(6) for letter in "ab"]
     mixed = [
         entry(f"s{cell}{kind}", cell, kind=kind) for cell in range(6, 12) for kind in ("old", "new")
@@ -57,13 +57,13 @@
         play(range(6), Outcome.RESET)
     assert play(range(6, 12), Outcome.SERVED) == {
         "new"
-    }  # nothing was sent to the old ones there before
+    }  # although nothing was sent to the old servers of these cells before
     driver.at(driver.now + 30.0)
-    assert play(range(12), Outcome.SERVED) == {"old", "new"}  # and it is let go
+    assert play(range(12), Outcome.SERVED) == {"old", "new"}  # the losses decay
 
 
-def test_losses_that_all_kinds_and_zones_share_do_not_move_the_choice() -> None:
-    """Under overload each zone loses parts, and noise moved the work from one to the other."""
+def test_losses_that_all_kinds_and_zones_share_do_not_change_the_choice() -> None:
+    """Under overload each zone loses parts, and random differences moved the work from one zone to the other."""
     fleet = [
         entry(f"s{cell}{kind}", cell, kind=kind) for cell in range(2) for kind in ("old", "new")
     ]
@@ -79,7 +79,7 @@
 
 
 def test_failing_new_connections_end_the_closing_of_idle_ones() -> None:
-    """Handshakes failed for a while: closing what was idle made a third of the parts fail."""
+    """While handshakes failed, closing idle connections made a third of the parts fail."""
     settings = make_settings(
         limits=limits(idle_connection=30.0, second_copies=False, max_attempts=1)
     )
@@ -96,7 +96,7 @@
 
 
 def test_parts_lost_in_one_call_are_one_sample_of_its_connection() -> None:
-    """Four parts of one slow call were taken for four lost connections, and all idle ones were closed."""
+    """Four parts of one slow call counted as four lost connections, and all idle connections were closed."""
     settings = make_settings(parts_per_call=4, limits=limits(idle_connection=30.0, max_attempts=1))
     driver = Driver(settings, fleet=FLEET[:1])
     driver.end(next(iter(driver.parts[driver.query("all", [0])])))
@@ -107,10 +107,10 @@
     assert 0.0 < driver.aggregator.outliers.shared_faults.connections[True].share <= 0.2
 
 
-def test_class_that_a_server_loses_goes_elsewhere() -> None:
-    """Seen on sockets: five of twelve nodes did not answer three quarters of one class, and all of the others."""
+def test_class_that_a_server_loses_is_sent_to_another_replica() -> None:
+    """Over sockets, five of twelve nodes left three quarters of one class unanswered and answered all other classes."""
     driver = Driver(fleet=FLEET[:1])
-    set_known(driver)
+    set_means(driver)
     for _ in range(8):
         driver.query("all", [0])
         answered = driver.query("some", [0])
@@ -129,20 +129,20 @@
         driver.gone(each)
     driver.handle(*[driver.ended(*key, Outcome.CANCELLED) for key in driver.out()])
     driver.list(FLEET[:2])
-    set_known(driver)
-    driver.aggregator.capsules["s0a"].failures = []  # what is held of any class
-    hurried = [driver.query("all", [0]) for _ in range(6)]
+    set_means(driver)
+    driver.aggregator.capsules["s0a"].failures = []  # drop remembered failures, which apply to all classes
+    lost_class = [driver.query("all", [0]) for _ in range(6)]
     other = driver.query("some", [0])
-    assert {driver.attempts[part][0][0] for each in hurried for part in driver.parts[each]} == {
+    assert {driver.attempts[part][0][0] for each in lost_class for part in driver.parts[each]} == {
         "s0b"
     }
     assert [driver.attempts[part][0][0] for part in driver.parts[other]] == ["s0a"]
 
 
-def test_pause_is_not_taken_for_a_lost_class() -> None:
-    """All that was out is lost or late, of one class by chance: nothing that was sent later came back before."""
+def test_pause_does_not_count_as_a_lost_class() -> None:
+    """In a pause all parts in flight are late; they may be of one class by chance, and no later part was served."""
     driver = Driver(fleet=FLEET[:1])
-    set_known(driver)
+    set_means(driver)
     for _ in range(8):
         driver.query("all", [0])
     driver.at(driver.now + 0.3)
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -37,7 +37,7 @@
 
 
 def test_half_of_the_budget_is_reserved_for_parts_that_their_query_needs() -> None:
-    """Searches that could do without a part spent the budget that others needed, and those failed at once."""
+    """Queries that could be answered without a part spent the budget, and queries that needed all parts failed."""
     driver = Driver(make_settings(rules=rules(extra_window=5.0, extra_floor=4.0, extra_share=0.0)))
     for _ in range(5):
         query = driver.query("some", [0, 1, 0, 1])
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -1,4 +1,4 @@
-"""The six rules under generated event sequences; the driver in `helpers` checks each action."""
+"""The six invariants under generated event sequences; the driver in `helpers` checks each action."""
 
 from __future__ import annotations
 
@@ -62,26 +62,26 @@
 )
 
 
-class Play:
-    """Steps against a driver; timers come due in order, as the clock passes them."""
+class Player:
+    """Plays steps against a driver; timers fire in order as the clock passes them."""
 
     def __init__(self, **changes: object) -> None:
         self.driver = Driver(make_settings(**changes))
         self.timers: list[SetTimer] = []
         self.probes: list[str] = []
-        self.note()
+        self.collect()
 
-    def note(self) -> None:
+    def collect(self) -> None:
         driver = self.driver
         self.timers += [action for action in driver.acts if isinstance(action, SetTimer)]
         self.probes += [action.server for action in driver.acts if isinstance(action, Probe)]
-        # A first answer brings a second step's parts.
+        # A first answer is followed by the parts of the second step.
         for query, _ in list(driver.first_whole.items()):
             if query not in driver.finals and all(
                 part in driver.over for part in driver.parts[query]
             ):
                 driver.handle(*driver.part_events(query, [0, 1]))
-                self.note()
+                self.collect()
 
     def wait(self, span: float) -> None:
         driver, end = self.driver, self.driver.now + span
@@ -92,26 +92,26 @@
             self.timers.remove(due)
             driver.at(due.at + 0.004)
             driver.handle(TimerDue(due.token))
-            self.note()
+            self.collect()
         driver.at(end)
         driver.handle()
 
     def step(self, step: tuple[object, ...]) -> None:
         driver = self.driver
         match step:
-            case ("query", str(kind), list(shards), float(left)):
-                driver.query(kind, shards, deadline=driver.now + left)
+            case ("query", str(kind), list(shards), float(time_left)):
+                driver.query(kind, shards, deadline=driver.now + time_left)
             case ("end", int(index), Outcome() as outcome, float(elapsed)):
-                out = driver.out()
-                if out:
-                    part, number = out[index % len(out)]
+                in_flight = driver.out()
+                if in_flight:
+                    part, number = in_flight[index % len(in_flight)]
                     driver.end(part, outcome, elapsed, number)
             case ("wait", float(span)):
                 self.wait(span)
             case ("gone", int(index)):
-                held = [query for query in driver.kinds if query not in driver.finals]
-                if held:
-                    driver.gone(held[index % len(held)])
+                unanswered = [query for query in driver.kinds if query not in driver.finals]
+                if unanswered:
+                    driver.gone(unanswered[index % len(unanswered)])
             case ("list", int(index), ServerState() as state, bool(cold)):
                 old = FLEET[index]
                 up = driver.now if cold and state is ServerState.LIVE else 0.0
@@ -130,15 +130,15 @@
                     QueryGone(number + 90_000),
                     AttemptEnded(number + 90_000, 0, "s0a", Outcome.SERVED, 0.1),
                 )
-        self.note()
+        self.collect()
 
 
 def play(steps: list[tuple[object, ...]], **changes: object) -> None:
-    game = Play(**changes)
+    player = Player(**changes)
     for step in steps:
-        game.step(step)
-    game.wait(4.0)
-    driver = game.driver
+        player.step(step)
+    player.wait(4.0)
+    driver = player.driver
     for query, (_, deadline) in driver.kinds.items():
         assert query in driver.finals, f"query {query} has no final answer by {deadline + SLACK}"
     for part, number in driver.out():
@@ -184,7 +184,7 @@
 def test_rules_hold_without_hedges_and_with_a_small_budget(
     steps: list[tuple[object, ...]], retry_after: bool
 ) -> None:
-    """Never two attempts of a part at once, also around time-outs, cancels and lost parts."""
+    """There are never two attempts of a part at once, also around time-outs, cancellations and lost parts."""
     play(
         steps,
         instances=80,
@@ -230,10 +230,10 @@
         driver.kinds.pop(
             query
         )  # the aggregator was stalled past every deadline: the clients have disconnected
-    held = [(part, number) for part, number in driver.out()]
+    unanswered = [(part, number) for part, number in driver.out()]
     driver.aggregator.handle(driver.now, [])
     driver.at(driver.now + 40.0)
-    events = [driver.ended(part, number, Outcome.TIMED_OUT, 40.0) for part, number in held]
+    events = [driver.ended(part, number, Outcome.TIMED_OUT, 40.0) for part, number in unanswered]
     finals = driver.aggregator.handle(
         driver.now, [*events, *(TimerDue(token) for token in range(1, 3000))]
     )
--- a/tests/decisions/test_selection.py
+++ b/tests/decisions/test_selection.py
@@ -1,4 +1,4 @@
-"""The choice of a replica."""
+"""Replica selection."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 pytestmark = pytest.mark.cpu_only
 
 
-def test_part_goes_to_the_replica_with_the_fewest_out() -> None:
+def test_part_goes_to_the_replica_with_the_fewest_calls_in_flight() -> None:
     driver = Driver()
     for _ in range(9):
         driver.query("all", [0])
@@ -40,8 +40,8 @@
     assert play() == play()
 
 
-def test_server_that_was_paused_is_not_chosen_to_reject_for() -> None:
-    """Nothing is out there once it went on, and its mean is over what a query may wait: others hold the shard."""
+def test_server_that_was_paused_does_not_cause_rejections() -> None:
+    """After a pause a server is idle but its mean exceeds a query's wait; the shard's other replicas must be chosen."""
     driver = Driver()
     run_queries(driver, 20, 0.05)
     driver.query("all", [0])
@@ -50,14 +50,14 @@
     driver.at(driver.now + paused)
     driver.handle(*[driver.ended(*key, Outcome.SERVED, paused) for key in driver.out()])
     capsule = driver.aggregator.capsules[paused_server]
-    capsule.mean_time = paused  # as when all that was out there came back that late
+    capsule.mean_time = paused  # as if all parts in flight there had been served that late
     finals = [driver.finals.get(driver.query("all", [0, 1])) for _ in range(12)]
     assert finals == [None] * 12
     assert paused_server not in {driver.attempts[part][0][0] for part, _ in driver.out()}
 
 
-def test_slow_server_at_its_bound_comes_after_a_quick_one_with_more_out() -> None:
-    """Its bound is two parts, another's is many: the fewest out are not where there is room."""
+def test_slow_server_at_beta_ranks_behind_a_quick_one_with_more_in_flight() -> None:
+    """The beta of a slow server is two parts, so it can be at beta with fewer parts in flight than a quick server."""
     driver = Driver(fleet=FLEET[:2])
     slow, quick = (driver.aggregator.capsules[entry.server] for entry in FLEET[:2])
     for capsule, mean in ((slow, 0.5), (quick, 0.02)):
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What many instances together send to a server that has just started."""
+"""Slow start: the parts that many instances together send to a server that has just started."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def test_many_instances_together_do_not_overload_a_cold_server() -> None:
-    """One part at least from each of 80 instances was twenty times what a cold server can bear."""
+    """At least one part from each of 80 instances was twenty times the load that a cold server can sustain."""
     drivers = [
         Driver(make_settings(instances=80), fleet=[entry("s0a", up_since=99.99)], seed=seed)
         for seed in range(80)
@@ -29,14 +29,14 @@
     for begin in (100.0, 101.0, 102.0):
         able = (
             0.2 + 0.8 * (begin + 1.0 - 99.99) / 10.0
-        )  # at the window's end: a little slack for chance
+        )  # capacity at the window's end, which allows a little random variation
         work = sum(0.1 for at in sent if begin <= at < begin + 1.0)
         assert work <= 3.0 * able * 1.0, begin
-    assert sent  # and it is not starved
+    assert sent  # the server gets some parts
 
 
 def test_counted_instances_set_the_share_of_a_cold_server() -> None:
-    """Brokers that came or went unseen: each divided what a cold server bears by a number that was no longer so."""
+    """When brokers joined or left, each still divided a cold server's sustainable load by the old number of brokers."""
 
     def sent(*counted: int) -> int:
         found = 0
@@ -59,11 +59,11 @@
 
 
 def test_rejected_query_spends_no_quota() -> None:
-    """Shards with cold replicas only starved: queries rejected for another shard had spent the quota."""
+    """Shards with only cold replicas got no parts: queries rejected because of another shard had spent the quota."""
     driver = Driver(make_settings(instances=80), fleet=[entry("s0a", up_since=99.99)])
-    driver.at(START + 2.0)  # a process that just began sends nothing there
-    driver.query("all", [0, 1])  # shard 1 has no holder
-    driver.aggregator.slow_start.quotas["s0a"].draw = 1.0  # it has one part of the share
+    driver.at(START + 2.0)  # a new process sends nothing to a cold server at first
+    driver.query("all", [0, 1])  # shard 1 has no replica
+    driver.aggregator.slow_start.quotas["s0a"].draw = 1.0  # this instance gets the fraction as one part
     driver.query("all", [0, 1])
     assert not driver.sends()
     assert driver.query("all", [0]) not in driver.finals and len(driver.sends()) == 1
@@ -74,7 +74,7 @@
     query = driver.query("all", [1])
     driver.end(next(iter(driver.parts[query])))
     driver.list([entry("s0a", state=ServerState.GONE)], ListKind.CHANGES)
-    driver.at(driver.now + 2.0)  # a process that just began sends nothing there
+    driver.at(driver.now + 2.0)  # a new process sends nothing to a cold server at first
     driver.list([entry("s0a", up_since=driver.now)], ListKind.CHANGES)
     sent = 0
     for _ in range(10):
@@ -85,9 +85,9 @@
 
 @pytest.mark.parametrize("demand", DEMANDS)
 @pytest.mark.parametrize("instances", [1, 3, 20, 30, 200])
-def test_no_window_gets_more_than_the_budget_and_chance(instances: int, demand: str) -> None:
-    """Each instance saved a part up while it was idle, and all sent it at once; a new process began with one; a burst
-    took what was saved and, within the same window, what came in anew.
+def test_no_window_gets_more_than_the_budget_plus_random_variation(instances: int, demand: str) -> None:
+    """Three ways to overload a cold server: instances that had saved up a part while idle all sent it at once; a new
+    process started with one part; a burst spent the saved quota and, within the same window, the new quota.
     """
     for age in (0.0, 3.0) if instances < 200 else (3.0,):
         for seed in range(4 if instances < 200 else 1):
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("how", ["another start time", "removed from the list and back"])
-def test_changed_entry_brings_no_fresh_quota(how: str) -> None:
+def test_changed_entry_gets_no_new_quota(how: str) -> None:
     driver = Driver(make_settings(instances=1), fleet=[])
     driver.at(START + 5.0)
     driver.list([entry("s0a", up_since=START + 4.9)], ListKind.CHANGES)
@@ -120,7 +120,7 @@
     assert 1 <= sent <= 8  # of 3 x 0.21 x 1 s / 0.1 s
 
 
-def test_new_process_leaves_the_quota_to_the_one_before() -> None:
+def test_new_process_sends_nothing_within_the_window_of_its_predecessor() -> None:
     driver = Driver(make_settings(instances=1), fleet=[entry("s0a", up_since=START - 0.5)])
     driver.query("all", [0])
     assert not driver.sends()
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter through a real process, started as the deploy file says."""
+"""Tests of the simulator adapter in a real process, started with the command of the deploy file."""
 
 import json
 import os
@@ -86,13 +86,13 @@
 
 
 def command() -> list[str]:
-    """The deploy file's command, with this interpreter in place of the built environment's."""
+    """The command of the deploy file, with this interpreter instead of the one in the built environment."""
     sim = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["sim"]
     assert sim.startswith("exec .venv/bin/python ")
     return ["/bin/sh", "-c", sim.replace(".venv/bin/python", sys.executable)]
 
 
-def talk(lines: list[str]) -> tuple[list[dict[str, Any]], str, int]:
+def run_adapter(lines: list[str]) -> tuple[list[dict[str, Any]], str, int]:
     done = subprocess.run(
         command(),
         input="\n".join(lines) + "\n",
@@ -139,18 +139,18 @@
     ]
 
 
-def named(reply: dict[str, Any], name: str) -> list[dict[str, Any]]:
+def actions_named(reply: dict[str, Any], name: str) -> list[dict[str, Any]]:
     return [action[name] for action in reply["outbox"] if name in action]
 
 
-def test_a_query_travels_out_and_back() -> None:
+def test_a_query_is_sent_and_answered() -> None:
     good = {"ending": "GOOD", "terminal": True, "wait-time-ns": 90_000_000, "go": 0}
     lines = [
         batch(0, 9.0),
         batch(1, 10.0, *start("broker-0", 5)),
         batch(2, 10.0, *ask("broker-0", 70, "part", 2)),
     ]
-    sent = named(talk(lines)[0][2], "RELAY")
+    sent = actions_named(run_adapter(lines)[0][2], "RELAY")
     assert [action["request-id"] for action in sent] == [71, 72]
     assert all(0 < action["max-wait-ns"] <= NS for action in sent)
     lines.append(
@@ -170,9 +170,9 @@
             ],
         )
     )
-    replies, _, code = talk(lines)
+    replies, _, code = run_adapter(lines)
     assert code == 0 and [reply["serial"] for reply in replies] == [0, 1, 2, 3]
-    assert named(replies[3], "ASSEMBLE") == [{"i": "broker-0", "request-id": 70, "on": True}]
+    assert actions_named(replies[3], "ASSEMBLE") == [{"i": "broker-0", "request-id": 70, "on": True}]
 
 
 def test_one_process_and_several_act_alike() -> None:
@@ -184,15 +184,15 @@
         return [batch(0, 10.0, *boot), batch(1, 10.0, *work), batch(2, 11.5)]
 
     names = ["broker-0", "broker-1", "broker-2"]
-    together = [action for reply in talk(lines(names))[0] for action in reply["outbox"]]
+    together = [action for reply in run_adapter(lines(names))[0] for action in reply["outbox"]]
     for name in names:
-        alone = [action for reply in talk(lines([name]))[0] for action in reply["outbox"]]
+        alone = [action for reply in run_adapter(lines([name]))[0] for action in reply["outbox"]]
         assert alone and alone == [
             action for action in together if next(iter(action.values()))["i"] == name
         ]
 
 
-def test_a_killed_instance_forgets_and_may_start_again_in_the_same_batch() -> None:
+def test_a_killed_instance_loses_its_state_and_may_start_again_in_the_same_batch() -> None:
     lines = [
         batch(0, 10.0, *start("broker-0", 5)),
         batch(1, 10.0, *ask("broker-0", 70, "part", 2)),
@@ -205,14 +205,14 @@
         ),
         batch(4, 10.3, {"CRASH_NOW": {"i": "broker-0"}}, {"DUE": {"i": "broker-0", "ctx": 1}}),
     ]
-    replies, _, code = talk(lines)
+    replies, _, code = run_adapter(lines)
     assert code == 0
     assert not any(
-        named(reply, name) for reply in replies[2:] for name in ("ASSEMBLE", "NOT_NOW", "RELAY")
+        actions_named(reply, name) for reply in replies[2:] for name in ("ASSEMBLE", "NOT_NOW", "RELAY")
     )
 
 
-def test_a_list_number_is_used_anew_within_a_batch() -> None:
+def test_a_list_number_may_be_reused_within_a_batch() -> None:
     one, two = SERVERS[:1], SERVERS[1:2]
     lines = [
         batch(
@@ -226,7 +226,7 @@
         ),
         batch(1, 10.0, *ask("broker-0", 70, "part", 1)),
     ]
-    assert [action["node"] for action in named(talk(lines)[0][1], "RELAY")] == ["node.0b"]
+    assert [action["node"] for action in actions_named(run_adapter(lines)[0][1], "RELAY")] == ["node.0b"]
 
 
 def test_unknown_events_keys_and_columns_are_skipped() -> None:
@@ -249,7 +249,7 @@
             },
         ),
     ]
-    replies, errors, code = talk(lines)
+    replies, errors, code = run_adapter(lines)
     assert code == 0 and not errors and replies[1]["outbox"] == []
 
 
@@ -266,8 +266,8 @@
         batch(1, 1.0, {"A": {}, "B": {}}),
     ],
 )
-def test_a_malformed_line_ends_it_with_one_plain_line(line: str) -> None:
-    replies, errors, code = talk([batch(0, 1.0), line])
+def test_a_malformed_line_ends_the_process_with_one_line_on_stderr(line: str) -> None:
+    replies, errors, code = run_adapter([batch(0, 1.0), line])
     assert code != 0 and len(replies) == 1
     assert len(errors.splitlines()) == 1 and errors.startswith("benchlink: ")
 
@@ -282,16 +282,16 @@
         (None, "balancers"),
     ],
 )
-def test_a_missing_setting_ends_it(section: str | None, key: str) -> None:
+def test_a_missing_setting_ends_the_process(section: str | None, key: str) -> None:
     profile = json.loads(json.dumps(PROFILE))
     del (profile[section] if section else profile)[key]
-    _, errors, code = talk([batch(0, 1.0, *start("broker-0", 1, profile))])
+    _, errors, code = run_adapter([batch(0, 1.0, *start("broker-0", 1, profile))])
     assert code != 0 and len(errors.splitlines()) == 1 and key in errors
 
 
 def test_a_failing_module_is_named_in_an_internal_error() -> None:
     work = ask("broker-0", 70, "part", 1)
     work[1]["ASK"]["amount"] = "much"
-    replies, _, _ = talk([batch(0, 10.0, *start("broker-0", 5)), batch(1, 10.0, *work)])
-    (fields,) = named(replies[1], "INTERNAL_ERROR")
+    replies, _, _ = run_adapter([batch(0, 10.0, *start("broker-0", 5)), batch(1, 10.0, *work)])
+    (fields,) = actions_named(replies[1], "INTERNAL_ERROR")
     assert fields["i"] == "broker-0" and "TypeError" in fields["reason-text"]
