--- a/bench/planted_defects/decisions.py
+++ b/bench/planted_defects/decisions.py
@@ -151,21 +151,21 @@
     ),
     PlantedDefect(
         path="stepknot/decisions/capsule.py",
-        original="wait = max(0.0, left * (beta - out) / (beta - alpha))",
-        replacement="wait = left",
+        original="wait = max(0.0, time_left * (beta - in_flight) / (beta - alpha))",
+        replacement="wait = time_left",
         tests=("tests/decisions/test_capsule.py::test_wait_shrinks_from_alpha_to_beta",),
     ),
     PlantedDefect(
         path="stepknot/decisions/capsule.py",
-        original="wait = left if out < beta else 0.0",
-        replacement="wait = left",
+        original="wait = time_left if in_flight < beta else 0.0",
+        replacement="wait = time_left",
         tests=(
             "tests/decisions/test_capsule.py::test_query_that_needs_all_parts_waits_in_full_below_beta_and_is_rejected_at_it",
         ),
     ),
     PlantedDefect(
         path="stepknot/decisions/capsule.py",
-        original="if wait >= expected and left >= MIN_TIME_LEFT_IN_MEANS * expected:",
+        original="if wait >= expected and time_left >= MIN_TIME_LEFT_IN_MEANS * expected:",
         replacement="if wait >= expected:",
         tests=("tests/decisions/test_capsule.py::test_query_with_too_few_mean_times_left_is_rejected",),
     ),
@@ -179,8 +179,8 @@
     ),
     PlantedDefect(
         path="stepknot/decisions/health.py",
-        original="memory_time = max(FAILURE_MEMORY_WAITS * base_wait, FAILURE_MEMORY_GAPS * capsule.send_gap)",
-        replacement="memory_time = FAILURE_MEMORY_WAITS * base_wait",
+        original="lifetime = max(FAILURE_MEMORY_WAITS * base_wait, FAILURE_MEMORY_GAPS * capsule.send_gap)",
+        replacement="lifetime = FAILURE_MEMORY_WAITS * base_wait",
         tests=("tests/decisions/test_health.py::test_failure_is_remembered_longer_where_sends_are_rare",),
     ),
     PlantedDefect(
--- a/stepknot/decisions/answers.py
+++ b/stepknot/decisions/answers.py
@@ -110,8 +110,8 @@
     def on_part_ended(self, query: Query) -> None:
         """Conclude a query whose outcome is decided.
 
-        That is a query with no attempt left in flight, a late one that has reached its floor, or one that can
-        no longer reach its floor.
+        That is a query of which each part was served or has no attempt in flight, a late query that has
+        reached its floor, or a query that can no longer reach its floor.
         """
         floor = query.query_class.floor - EPSILON
         is_floor_unreachable = reachable_weight(query) < floor  # further work for it would be wasted
--- a/stepknot/decisions/health.py
+++ b/stepknot/decisions/health.py
@@ -56,8 +56,8 @@
         """Remember one more failure, unless `max_remembered` or more have not expired."""
         if self.count(capsule) < max_remembered:
             base_wait = self._throttle.base_wait
-            memory_time = max(FAILURE_MEMORY_WAITS * base_wait, FAILURE_MEMORY_GAPS * capsule.send_gap)
-            capsule.failures.append(self._turn.now + memory_time)
+            lifetime = max(FAILURE_MEMORY_WAITS * base_wait, FAILURE_MEMORY_GAPS * capsule.send_gap)
+            capsule.failures.append(self._turn.now + lifetime)
             self._throttle.fleet.reported_at = -math.inf  # the fleet is not healthy: probe again
 
 
--- a/stepknot/decisions/retries.py
+++ b/stepknot/decisions/retries.py
@@ -21,7 +21,7 @@
     def send_again(self, query: Query, part: Part, beta_factor: float = 1.0) -> None:
         """Send a part to another replica, if that is allowed.
 
-        It is sent only if the class, the repeat window, the attempt budget and the time left permit it, and a
+        It is sent only if the class, the repeat window, the retry budget and the time left permit it, and a
         replica is below beta.
 
         Args:
