--- a/stepknot/decisions/health.py
+++ b/stepknot/decisions/health.py
@@ -105,10 +105,10 @@
         deadline = min(now + PROBE_WAIT_SHARE * query.query_class.aim, query.wait_end)
         query.probe_deadline = deadline
         self._timers.set(deadline)
-        old = MAX_REPORT_AGE_SHARE * self._throttle.base_wait / 2
+        max_age = MAX_REPORT_AGE_SHARE * self._throttle.base_wait / 2
         for part in query.parts:
             for capsule in self._endpoints.replicas(part.shard):
-                if not capsule.is_probe_pending and now - capsule.reported_at > old:
+                if not capsule.is_probe_pending and now - capsule.reported_at > max_age:
                     capsule.is_probe_pending = True
                     actions.append(Probe(capsule.entry.server))
         return deadline
--- a/tests/decisions/test_capsule.py
+++ b/tests/decisions/test_capsule.py
@@ -53,7 +53,7 @@
 
 
 def test_light_load_gives_full_waits_and_one_attempt_for_each_part() -> None:
-    """Under light load no limit applies: answers are complete, and no attempt is repeated, cancelled or delayed."""
+    """Under light load no limit applies: answers are complete, and no attempt is cancelled or counted as a failure."""
     driver = Driver()
     for _ in range(50):
         query = driver.query("some", [0, 1])
