--- a/bench/planted_defects/decisions.py
+++ b/bench/planted_defects/decisions.py
@@ -167,7 +167,9 @@
         path="stepknot/decisions/capsule.py",
         original="if wait >= expected and time_left >= MIN_TIME_LEFT_IN_MEANS * expected:",
         replacement="if wait >= expected:",
-        tests=("tests/decisions/test_capsule.py::test_query_with_too_few_mean_times_left_is_rejected",),
+        tests=(
+            "tests/decisions/test_capsule.py::test_query_with_too_few_mean_times_left_is_rejected",
+        ),
     ),
     PlantedDefect(
         path="stepknot/decisions/selection.py",
@@ -181,7 +183,9 @@
         path="stepknot/decisions/health.py",
         original="lifetime = max(FAILURE_MEMORY_WAITS * base_wait, FAILURE_MEMORY_GAPS * capsule.send_gap)",
         replacement="lifetime = FAILURE_MEMORY_WAITS * base_wait",
-        tests=("tests/decisions/test_health.py::test_failure_is_remembered_longer_where_sends_are_rare",),
+        tests=(
+            "tests/decisions/test_health.py::test_failure_is_remembered_longer_where_sends_are_rare",
+        ),
     ),
     PlantedDefect(
         path="stepknot/decisions/outlier_detection.py",
--- a/bench/trace_packages/decisions.py
+++ b/bench/trace_packages/decisions.py
@@ -138,9 +138,13 @@
         self.now, self.serial, self.last_id = START, 0, 0
         self.heap: list[Due] = []
         self.free_at: dict[str, float] = {}  # by server: when its queue will be empty
-        self.in_flight: dict[tuple[int, int], tuple[str, float]] = {}  # by attempt: server, send time
+        self.in_flight: dict[
+            tuple[int, int], tuple[str, float]
+        ] = {}  # by attempt: server, send time
         self.class_of: dict[int, str] = {}  # by part
-        self.open: dict[int, tuple[int, str, bool]] = {}  # by query: number, class, whether its first step is answered
+        self.open: dict[
+            int, tuple[int, str, bool]
+        ] = {}  # by query: number, class, whether its first step is answered
         cells = scenario.settings.cells
         self.entries = {
             f"s{cell}{letter}": ServerEntry(
@@ -378,9 +382,7 @@
         self.schedule(rng.expovariate(self.scenario.churn), "churn")
         server = rng.choice(sorted(self.entries))
         entry = self.entries[server]
-        change = rng.choice(
-            ["drain", "gone", "back", "cold", "size", "full", "failed", "counted"]
-        )
+        change = rng.choice(["drain", "gone", "back", "cold", "size", "full", "failed", "counted"])
         if change == "full":
             remaining = [each for each in self.entries.values() if rng.random() < 0.95]
             return [ListReceived(ListKind.FULL, tuple(remaining))]
@@ -399,7 +401,9 @@
         return [ListReceived(ListKind.CHANGES, (changed,))]
 
 
-def narrow_by_zone(now: float, entries: list[ServerEntry], is_safe: bool, is_second_step: bool) -> list[int]:
+def narrow_by_zone(
+    now: float, entries: list[ServerEntry], is_safe: bool, is_second_step: bool
+) -> list[int]:
     """A rule that restricts safe parts to one zone, which alternates every second."""
     if is_second_step or not is_safe:
         return list(range(len(entries)))
--- a/stepknot/decisions/answers.py
+++ b/stepknot/decisions/answers.py
@@ -56,7 +56,9 @@
         self._turn, self._timers, self._throttle = turn, timers, throttle
         self._dispatcher, self._budget = dispatcher, budget
         self.queries: dict[int, Query] = {}  # by number
-        self.unplaced: dict[int, Query] = {}  # by number, those with parts that have not been placed
+        self.unplaced: dict[
+            int, Query
+        ] = {}  # by number, those with parts that have not been placed
 
     def on_query(self, event: QueryArrived) -> None:
         """Accept a query; one of an unknown class is rejected, because its effect is unknown."""
@@ -114,7 +116,9 @@
         reached its floor, or a query that can no longer reach its floor.
         """
         floor = query.query_class.floor - EPSILON
-        is_floor_unreachable = reachable_weight(query) < floor  # further work for it would be wasted
+        is_floor_unreachable = (
+            reachable_weight(query) < floor
+        )  # further work for it would be wasted
         is_late_but_enough = query.is_late and served_weight(query) >= floor
         if (
             is_floor_unreachable
--- a/stepknot/decisions/health.py
+++ b/stepknot/decisions/health.py
@@ -97,7 +97,10 @@
 
     def _is_fleet_idle(self) -> bool:
         fleet = self._throttle.fleet
-        return fleet.reported_others < MIN_OTHERS_FOR_PROBE and self._turn.now - fleet.reported_at < HALF_LIFE
+        return (
+            fleet.reported_others < MIN_OTHERS_FOR_PROBE
+            and self._turn.now - fleet.reported_at < HALF_LIFE
+        )
 
     def _probe_replicas(self, query: Query) -> float:
         """Probe the replicas without a recent report; returns the time until which the query waits."""
@@ -135,5 +138,7 @@
         capsule.reported_others = max(0.0, reported - len(capsule.calls))
         capsule.reported_at = self._turn.now
         fleet = self._throttle.fleet
-        fleet.reported_others += FLEET_SAMPLE_WEIGHT * (capsule.reported_others - fleet.reported_others)
+        fleet.reported_others += FLEET_SAMPLE_WEIGHT * (
+            capsule.reported_others - fleet.reported_others
+        )
         fleet.reported_at = self._turn.now
--- a/stepknot/decisions/hedging.py
+++ b/stepknot/decisions/hedging.py
@@ -103,7 +103,9 @@
             return
         for attempt in [each for each in self._in_flight.values() if each.capsule is capsule]:
             query, part = attempt.query, attempt.part
-            is_unhedged = part in query.parts and not part.is_served and part.attempts_in_flight == 1
+            is_unhedged = (
+                part in query.parts and not part.is_served and part.attempts_in_flight == 1
+            )
             if is_unhedged and self._turn.settings.limits.second_copies:
                 self._send_again(query, part, UNRESPONSIVE_HEDGE_SHARE)
         self.watch_server(capsule, self._turn.now)
--- a/stepknot/decisions/outcomes.py
+++ b/stepknot/decisions/outcomes.py
@@ -82,9 +82,13 @@
             elapsed = min(elapsed, attempt.query.query_class.aim)
         capsule, fleet = attempt.capsule, self._throttle.fleet
         if is_served or elapsed > capsule.mean_time:
-            self._throttle.record_response(capsule, elapsed, attempt.in_flight_at_send, SERVER_SAMPLE_WEIGHT)
+            self._throttle.record_response(
+                capsule, elapsed, attempt.in_flight_at_send, SERVER_SAMPLE_WEIGHT
+            )
         if is_served or elapsed > fleet.mean_time:
-            self._throttle.record_response(fleet, elapsed, attempt.in_flight_at_send, FLEET_SAMPLE_WEIGHT)
+            self._throttle.record_response(
+                fleet, elapsed, attempt.in_flight_at_send, FLEET_SAMPLE_WEIGHT
+            )
 
     def _forget_means(self, servers: Iterable[Capsule]) -> None:
         """Reset the means of all servers: times from an outage of all servers describe none of them."""
--- a/tests/decisions/test_capsule.py
+++ b/tests/decisions/test_capsule.py
@@ -72,7 +72,8 @@
     run_queries(driver, 10, 0.2)
     accepted = 0
     while (
-        isinstance(driver.finals.get(query := driver.query("all", [0])), type(None)) and accepted < 100
+        isinstance(driver.finals.get(query := driver.query("all", [0])), type(None))
+        and accepted < 100
     ):
         accepted += 1
     assert isinstance(driver.finals[query], Refuse) and 3 <= accepted <= 20
@@ -142,15 +143,20 @@
 
 
 @pytest.mark.parametrize(
-    ("in_flight_in_betas", "wait_in_base_waits"), [(0.5, 1.0), (0.85, 0.75), (0.9, 0.5), (0.95, 0.25)]
+    ("in_flight_in_betas", "wait_in_base_waits"),
+    [(0.5, 1.0), (0.85, 0.75), (0.9, 0.5), (0.95, 0.25)],
 )
-def test_wait_shrinks_from_alpha_to_beta(in_flight_in_betas: float, wait_in_base_waits: float) -> None:
+def test_wait_shrinks_from_alpha_to_beta(
+    in_flight_in_betas: float, wait_in_base_waits: float
+) -> None:
     driver = Driver(fleet=FLEET[:1])
     set_means(driver, mean=0.02, in_flight=20.0)  # gives a beta of several hundred calls
     base_wait = driver.aggregator.throttle.base_wait
     beta = BETA_SHARE * base_wait / 0.001
     capsule = driver.aggregator.capsules["s0a"]
-    capsule.calls |= {Call(0, parts=1, parts_in_flight=1) for _ in range(round(in_flight_in_betas * beta))}
+    capsule.calls |= {
+        Call(0, parts=1, parts_in_flight=1) for _ in range(round(in_flight_in_betas * beta))
+    }
     driver.query("some", [0])
     (send,) = driver.sends()
     assert send.timeout == pytest.approx(wait_in_base_waits * base_wait, abs=0.01)
--- a/tests/decisions/test_hedging.py
+++ b/tests/decisions/test_hedging.py
@@ -74,7 +74,11 @@
     first = [driver.query("all", [0]) for _ in range(6)]
     unanswered = [part for part, _ in driver.out() if driver.attempts[part][0][0] == paused]
     driver.handle(
-        *[driver.ended(*key, Outcome.SERVED, 0.02) for key in driver.out() if key[0] not in unanswered]
+        *[
+            driver.ended(*key, Outcome.SERVED, 0.02)
+            for key in driver.out()
+            if key[0] not in unanswered
+        ]
     )
     driver.at(driver.now + 0.1)
     driver.fire()
@@ -87,7 +91,9 @@
     }
     driver.end(unanswered[0], elapsed=0.1)  # the server answers again
     driver.query("all", [0])
-    assert paused in {driver.attempts[part][0][0] for part, _ in driver.out() if part not in unanswered}
+    assert paused in {
+        driver.attempts[part][0][0] for part, _ in driver.out() if part not in unanswered
+    }
     assert all(not isinstance(driver.finals.get(query), Refuse) for query in first)
 
 
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -130,7 +130,9 @@
     driver.handle(*[driver.ended(*key, Outcome.CANCELLED) for key in driver.out()])
     driver.list(FLEET[:2])
     set_means(driver)
-    driver.aggregator.capsules["s0a"].failures = []  # drop remembered failures, which apply to all classes
+    driver.aggregator.capsules[
+        "s0a"
+    ].failures = []  # drop remembered failures, which apply to all classes
     lost_class = [driver.query("all", [0]) for _ in range(6)]
     other = driver.query("some", [0])
     assert {driver.attempts[part][0][0] for each in lost_class for part in driver.parts[each]} == {
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -63,7 +63,9 @@
     driver = Driver(make_settings(instances=80), fleet=[entry("s0a", up_since=99.99)])
     driver.at(START + 2.0)  # a new process sends nothing to a cold server at first
     driver.query("all", [0, 1])  # shard 1 has no replica
-    driver.aggregator.slow_start.quotas["s0a"].draw = 1.0  # this instance gets the fraction as one part
+    driver.aggregator.slow_start.quotas[
+        "s0a"
+    ].draw = 1.0  # this instance gets the fraction as one part
     driver.query("all", [0, 1])
     assert not driver.sends()
     assert driver.query("all", [0]) not in driver.finals and len(driver.sends()) == 1
@@ -85,7 +87,9 @@
 
 @pytest.mark.parametrize("demand", DEMANDS)
 @pytest.mark.parametrize("instances", [1, 3, 20, 30, 200])
-def test_no_window_gets_more_than_the_budget_plus_random_variation(instances: int, demand: str) -> None:
+def test_no_window_gets_more_than_the_budget_plus_random_variation(
+    instances: int, demand: str
+) -> None:
     """Three ways to overload a cold server: instances that had saved up a part while idle all sent it at once; a new
     process started with one part; a burst spent the saved quota and, within the same window, the new quota.
     """
--- a/tests/platform/test_nodes.py
+++ b/tests/platform/test_nodes.py
@@ -167,7 +167,9 @@
         assert found.ask().status == 200
         found.nodes[0].script = lambda call: call.answer(report="inflight=5,util=0.1")
         assert found.ask().status == 200
-        assert found.call(lambda: found.service.core.aggregator.capsules["s-0"].reported_others) == 5.0
+        assert (
+            found.call(lambda: found.service.core.aggregator.capsules["s-0"].reported_others) == 5.0
+        )
 
 
 def test_connection_that_ends_after_the_call_was_sent_resets_its_parts() -> None:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -172,7 +172,9 @@
     )
     replies, _, code = run_adapter(lines)
     assert code == 0 and [reply["serial"] for reply in replies] == [0, 1, 2, 3]
-    assert actions_named(replies[3], "ASSEMBLE") == [{"i": "broker-0", "request-id": 70, "on": True}]
+    assert actions_named(replies[3], "ASSEMBLE") == [
+        {"i": "broker-0", "request-id": 70, "on": True}
+    ]
 
 
 def test_one_process_and_several_act_alike() -> None:
@@ -208,7 +210,9 @@
     replies, _, code = run_adapter(lines)
     assert code == 0
     assert not any(
-        actions_named(reply, name) for reply in replies[2:] for name in ("ASSEMBLE", "NOT_NOW", "RELAY")
+        actions_named(reply, name)
+        for reply in replies[2:]
+        for name in ("ASSEMBLE", "NOT_NOW", "RELAY")
     )
 
 
@@ -226,7 +230,9 @@
         ),
         batch(1, 10.0, *ask("broker-0", 70, "part", 1)),
     ]
-    assert [action["node"] for action in actions_named(run_adapter(lines)[0][1], "RELAY")] == ["node.0b"]
+    assert [action["node"] for action in actions_named(run_adapter(lines)[0][1], "RELAY")] == [
+        "node.0b"
+    ]
 
 
 def test_unknown_events_keys_and_columns_are_skipped() -> None:
