--- a/stepknot/decisions/records.py
+++ b/stepknot/decisions/records.py
@@ -67,7 +67,7 @@
     last_response_at: float = 0.0
     mean_time: float = 0.0  # mean response time in seconds
     mean_in_flight: float = 1.0  # mean number of calls in flight when a part was sent
-    # Load reports.
+    # Load reports. For the fleet, `reported_others` is the moving average over all reports.
     reported_others: float = 0.0  # other aggregators' parts at the server, by the last report
     reported_at: float = -math.inf
     is_probe_pending: bool = False  # whether a probe of its load has not ended
