--- a/bench/planted_defects/decisions.py
+++ b/bench/planted_defects/decisions.py
@@ -5,16 +5,16 @@
 DEFECTS = [
     PlantedDefect(
         path="stepknot/decisions/endpoint_list.py",
-        original="pause = (self._turn.settings.rules.ask_within or math.inf) * WATCH_RETRY_SHARE",
-        replacement="pause = self._turn.settings.rules.ask_within * WATCH_RETRY_SHARE",
+        original="delay = (self._turn.settings.rules.ask_within or math.inf) * WATCH_RETRY_SHARE",
+        replacement="delay = self._turn.settings.rules.ask_within * WATCH_RETRY_SHARE",
         tests=(
             "tests/platform/test_discovery.py::test_timeouts_of_the_watch_add_up_to_less_than_the_propagation_delay",
         ),
     ),
     PlantedDefect(
         path="stepknot/decisions/slow_start.py",
-        original="left + cost * quota.draw >= cost",
-        replacement="left + cost >= cost",
+        original="remaining + cost * quota.draw >= cost",
+        replacement="remaining + cost >= cost",
         tests=("tests/decisions/test_slow_start.py",),
         invariant="4",
     ),
@@ -23,7 +23,7 @@
         original="now >= self.began_at + rules.fall_time and",
         replacement="True and",
         tests=(
-            "tests/decisions/test_slow_start.py::test_new_process_leaves_the_quota_to_the_one_before",
+            "tests/decisions/test_slow_start.py::test_new_process_sends_nothing_within_the_window_of_its_predecessor",
         ),
         invariant="4",
     ),
@@ -31,12 +31,12 @@
         path="stepknot/decisions/slow_start.py",
         original="return self.quotas.setdefault(server, ColdQuota())",
         replacement="return ColdQuota()",
-        tests=("tests/decisions/test_slow_start.py::test_changed_entry_brings_no_fresh_quota",),
+        tests=("tests/decisions/test_slow_start.py::test_changed_entry_gets_no_new_quota",),
         invariant="4",
     ),
     PlantedDefect(
         path="stepknot/decisions/dispatch.py",
-        original="return since + kind.repeat_window",
+        original="return since + query_class.repeat_window",
         replacement="return math.inf",
         tests=("tests/decisions/test_rules.py",),
         invariant="2",
@@ -46,15 +46,15 @@
         original="self._class_losses.fails_class(capsule, query.query_class.name),",
         replacement="False,",
         tests=(
-            "tests/decisions/test_outlier_detection.py::test_class_that_a_server_loses_goes_elsewhere",
+            "tests/decisions/test_outlier_detection.py::test_class_that_a_server_loses_is_sent_to_another_replica",
         ),
     ),
     PlantedDefect(
         path="stepknot/decisions/outlier_detection.py",
-        original="if not is_lost or capsule.latest_answered_send > attempt.sent_at:",
+        original="if not is_lost or capsule.latest_served_sent_at > attempt.sent_at:",
         replacement="if True:",
         tests=(
-            "tests/decisions/test_outlier_detection.py::test_pause_is_not_taken_for_a_lost_class",
+            "tests/decisions/test_outlier_detection.py::test_pause_does_not_count_as_a_lost_class",
         ),
     ),
     PlantedDefect(
@@ -94,7 +94,7 @@
     ),
     PlantedDefect(
         path="stepknot/decisions/answers.py",
-        original="need = 1.0 if is_second else kind.need",
+        original="need = 1.0 if is_second else query_class.need",
         replacement="need = 0.0",
         tests=(
             "tests/decisions/test_answers.py::test_answer_is_partial_under_need_and_complete_over_it",
@@ -103,7 +103,7 @@
     ),
     PlantedDefect(
         path="stepknot/decisions/answers.py",
-        original="if query.parts and served_weight(query) >= kind.floor - EPSILON:",
+        original="if query.parts and served_weight(query) >= query_class.floor - EPSILON:",
         replacement="if query.parts:",
         tests=(
             "tests/decisions/test_answers.py::test_query_that_cannot_reach_its_floor_ends_at_once",
@@ -112,7 +112,7 @@
     ),
     PlantedDefect(
         path="stepknot/decisions/answers.py",
-        original="elif kind.effect is Effect.SAFE or all(",
+        original="elif query_class.effect is Effect.SAFE or all(",
         replacement="elif True or all(",
         tests=(
             "tests/decisions/test_answers.py::test_unsafe_query_that_may_have_run_is_failed_not_rejected",
@@ -121,8 +121,8 @@
     ),
     PlantedDefect(
         path="stepknot/decisions/retries.py",
-        original="return kind.effect is Effect.KEYED and self._turn.now < window_end",
-        replacement="return kind.effect is Effect.KEYED",
+        original="return query_class.effect is Effect.KEYED and self._turn.now < window_end",
+        replacement="return query_class.effect is Effect.KEYED",
         tests=(
             "tests/decisions/test_retries.py::test_keyed_part_is_retried_within_its_repeat_window_only",
         ),
@@ -151,27 +151,29 @@
     ),
     PlantedDefect(
         path="stepknot/decisions/capsule.py",
-        original="wait = max(0.0, left * (beta - out) / (beta - alpha))",
-        replacement="wait = left",
+        original="wait = max(0.0, time_left * (beta - in_flight) / (beta - alpha))",
+        replacement="wait = time_left",
         tests=("tests/decisions/test_capsule.py::test_wait_shrinks_from_alpha_to_beta",),
     ),
     PlantedDefect(
         path="stepknot/decisions/capsule.py",
-        original="wait = left if out < beta else 0.0",
-        replacement="wait = left",
+        original="wait = time_left if in_flight < beta else 0.0",
+        replacement="wait = time_left",
         tests=(
             "tests/decisions/test_capsule.py::test_query_that_needs_all_parts_waits_in_full_below_beta_and_is_rejected_at_it",
         ),
     ),
     PlantedDefect(
         path="stepknot/decisions/capsule.py",
-        original="if wait >= expected and left >= MIN_MEANS_LEFT * expected:",
+        original="if wait >= expected and time_left >= MIN_TIME_LEFT_IN_MEANS * expected:",
         replacement="if wait >= expected:",
-        tests=("tests/decisions/test_capsule.py::test_query_with_too_few_means_left_is_rejected",),
+        tests=(
+            "tests/decisions/test_capsule.py::test_query_with_too_few_mean_times_left_is_rejected",
+        ),
     ),
     PlantedDefect(
         path="stepknot/decisions/selection.py",
-        original="count += PROBE_OUT_WEIGHT * capsule.probe_out",
+        original="count += PENDING_PROBE_WEIGHT * capsule.is_probe_pending",
         replacement="pass",
         tests=(
             "tests/decisions/test_health.py::test_replica_that_reports_a_queue_is_better_than_one_that_does_not_answer",
@@ -179,9 +181,11 @@
     ),
     PlantedDefect(
         path="stepknot/decisions/health.py",
-        original="hold = max(FAILURE_HOLD * base_wait, FAILURE_HOLD_GAPS * capsule.send_gap)",
-        replacement="hold = FAILURE_HOLD * base_wait",
-        tests=("tests/decisions/test_health.py::test_failure_is_held_longer_where_sends_are_rare",),
+        original="lifetime = max(FAILURE_MEMORY_WAITS * base_wait, FAILURE_MEMORY_GAPS * capsule.send_gap)",
+        replacement="lifetime = FAILURE_MEMORY_WAITS * base_wait",
+        tests=(
+            "tests/decisions/test_health.py::test_failure_is_remembered_longer_where_sends_are_rare",
+        ),
     ),
     PlantedDefect(
         path="stepknot/decisions/outlier_detection.py",
@@ -202,7 +206,7 @@
         original="dispatcher.withdraw(attempt)",
         replacement="pass",
         tests=(
-            "tests/decisions/test_load_shedding.py::test_query_that_is_rejected_for_one_shard_leaves_nothing_out_at_another",
+            "tests/decisions/test_load_shedding.py::test_query_that_is_rejected_for_one_shard_leaves_nothing_in_flight_at_another",
         ),
     ),
     PlantedDefect(
@@ -210,7 +214,7 @@
         original="timers_due.append(event)",
         replacement="self.timers.on_due(event)",
         tests=(
-            "tests/decisions/test_hedging.py::test_backlog_after_a_stall_is_not_taken_for_silence",
+            "tests/decisions/test_hedging.py::test_backlog_after_a_stall_does_not_count_as_unanswered",
         ),
     ),
     PlantedDefect(
@@ -218,7 +222,7 @@
         original="elif known is None or known.entry.up_since != entry.up_since:",
         replacement="elif known is None:",
         tests=(
-            "tests/decisions/test_endpoint_list.py::test_restarted_server_is_not_judged_by_its_past",
+            "tests/decisions/test_endpoint_list.py::test_restarted_server_has_no_failures_of_its_former_process",
         ),
     ),
     PlantedDefect(
