--- a/stepknot/leases/candidate.py
+++ b/stepknot/leases/candidate.py
@@ -1,7 +1,8 @@
-"""One process's part in one job: it elects itself, renews its lease, replicates records, hands the job over.
+"""A process's candidacy for one job: elections, lease renewals, replication of records and handovers.
 
-The phases are IDLE, ELECTING and HOLDING. Time is this process's own clock. Two checks protect each act: `may_act(now)`
-holds at that moment, and a record counts only once a majority of voters accepted it under this epoch.
+The phases are IDLE, ELECTING and HOLDING. Times are read from this process's own clock. Two checks guard each action of
+a lease holder: `may_act(now)` is true at that moment, and a record takes effect only once a majority of voters accepted
+it under this epoch.
 """
 
 from __future__ import annotations
@@ -28,14 +29,14 @@
 from stepknot.leases.replication import RecordReplication
 from stepknot.leases.settings import LeaseSettings, ProcessId
 
-ELECTION_FRACTION = 0.5  # of a lease, for a majority's replies
-RESEND_FRACTION = 0.05  # of a lease, between two sendings of what was not answered
-HANDOVER_PAUSE_LEASES = 2  # before the process that handed over starts an election again
-NO_WAIT_MS = 1  # a rejection with this wait or less is not because of a running lease
+ELECTION_TIMEOUT_FRACTION = 0.5  # time-out of an election, as a fraction of the lease
+RESEND_FRACTION = 0.05  # interval at which unanswered requests are resent, as a fraction of the lease
+HANDOVER_PAUSE_LEASES = 2  # pause, in leases, before a process that handed over starts an election again
+NO_WAIT_MS = 1  # a rejection with a longer wait is due to a running lease or to the voter's start
 
 
 class Phase(Enum):
-    """What this process does about the job; the values appear in admin answers."""
+    """The state of this process's candidacy; the values appear in admin answers."""
 
     IDLE = "idle"
     ELECTING = "claiming"
@@ -43,7 +44,7 @@
 
 
 class CandidateEvent(Enum):
-    """What happened; the values are labels of a metric."""
+    """An event of a candidacy; the values are labels of a metric."""
 
     LEASE_ACQUIRED = "owning"
     LEASE_LOST = "lost"
@@ -51,16 +52,16 @@
 
 
 class LeaseCandidate:
-    """Candidate for one job's lease and, once elected, its holder."""
+    """A candidate for one job's lease, which becomes the lease holder once it is elected."""
 
     def __init__(self, job: str, process: ProcessId, settings: LeaseSettings, seed: int) -> None:
-        """Begin idle.
+        """Create an idle candidate.
 
         Args:
             job: The job's name.
             process: This process.
-            settings: The voters and the lease.
-            seed: Of the random pauses between elections.
+            settings: The voters and the lease's duration.
+            seed: The seed of the random pauses between elections.
         """
         self.job = job
         self.process = process
@@ -70,10 +71,10 @@
         self.backoff = ElectionBackoff(settings, seed)
         self.renewal = LeaseRenewal()
         self.replication = RecordReplication()
-        self.highest_epoch = 0  # that this process knows of, its own or others'
+        self.highest_epoch = 0  # the greatest known epoch, of this or any other process
         self.lease_expires_at = -math.inf
         self.held_since = -math.inf
-        self.reason = ""  # of the last loss, failure or rejection
+        self.reason = ""  # why the lease was lost, an election failed or a voter rejected it last
         self.outbox: list[tuple[str, Message]] = []  # receiver, message
         self.events: list[CandidateEvent] = []
 
@@ -93,28 +94,28 @@
         return self.replication.pending is not None
 
     def may_act(self, now: float) -> bool:
-        """Whether this process holds the lease and its ledger at this very moment."""
+        """Whether this process holds the lease at `now` and has committed a record under its epoch."""
         return (
             self.phase is Phase.HOLDING
             and now < self.lease_expires_at
             and self.replication.committed is not None
         )
 
-    # Time
+    # Periodic work
 
-    def tick(self, now: float, wanted: bool) -> None:
-        """Do what is due.
+    def tick(self, now: float, is_own_turn: bool) -> None:
+        """Apply time-outs and send the requests that are due.
 
         Args:
             now: This process's clock.
-            wanted: No lease holder is known, and it is this process's turn to start an election.
+            is_own_turn: No lease holder is known, and it is this process's turn to start an election.
         """
         if self.phase is Phase.HOLDING and now >= self.lease_expires_at:
-            self.stop(now, "its lease ran out before a majority renewed it")
+            self.stop(now, "the lease expired before a majority of voters renewed it")
         if self.phase is Phase.ELECTING and now >= self._election_deadline():
             promised, voters = len(self.election.promises), len(self.settings.voters)
-            self.abandon_election(now, f"{promised} of {voters} voters granted it in time")
-        if self.phase is Phase.IDLE and wanted and now >= self.backoff.next_election_at:
+            self.abandon_election(now, f"{promised} of {voters} voters promised the epoch in time")
+        if self.phase is Phase.IDLE and is_own_turn and now >= self.backoff.next_election_at:
             self.start_election(now)
         if self.phase is Phase.ELECTING and now >= self.election.resend_at:
             self.election.resend_at = now + self._resend_seconds()
@@ -126,7 +127,7 @@
     # Elections
 
     def start_election(self, now: float, released_epoch: int = 0) -> None:
-        """Ask all voters to promise an epoch above all known ones."""
+        """Ask all voters to promise an epoch that is greater than every known one."""
         self.highest_epoch = max(self.highest_epoch, self.epoch) + 1
         self.election = Election(
             self.highest_epoch,
@@ -140,12 +141,12 @@
         self.send_prepare()
 
     def send_prepare(self) -> None:
-        """Ask the voters that have not promised yet."""
+        """Send the prepare request to the voters that have not promised yet."""
         request = PrepareRequest(self.job, self.epoch, self.election.released_epoch)
         self.send(request, self.election.missing_voters(self.settings))
 
     def abandon_election(self, now: float, reason: str, wait_seconds: float = 0.0) -> None:
-        """End an election that failed, and release the voters that may have promised."""
+        """End a failed election and release the voters that may have promised."""
         voters = self.election.voters_to_release(self.settings)
         self.send(ReleaseNotice(self.job, self.epoch), voters)
         self.phase = Phase.IDLE
@@ -153,9 +154,9 @@
         self.backoff.record_failure(now, wait_seconds)
 
     def on_promise(self, now: float, voter: str, promise: Promise) -> None:
-        """A voter promised the epoch."""
+        """Handle a voter's promise."""
         if promise.epoch != self.epoch or self.phase is Phase.IDLE:
-            # The election was abandoned meanwhile: the voter need not keep the promise for a lease.
+            # The election has ended. The release lets the voter promise the job to others at once.
             self.send(ReleaseNotice(self.job, promise.epoch), (voter,))
         elif self.phase is Phase.HOLDING:
             self.join_late_voter(now, voter, promise)
@@ -165,7 +166,7 @@
                 self.take_lease(now)
 
     def take_lease(self, now: float) -> None:
-        """Become the lease holder if a majority promised. The lease counts from before the request was sent."""
+        """Become the lease holder if a majority promised. The lease runs from before the request was sent."""
         base = self.election.take_quorum(self.settings)
         if base is None:
             return
@@ -176,22 +177,22 @@
         self.backoff.record_success()
         self.renewal.next_at = now + self.settings.renewal_interval
         self.events.append(CandidateEvent.LEASE_ACQUIRED)
-        # The last holder's record may be at a minority only: it counts once it is committed under this epoch.
+        # The previous holder's record may be stored by a minority only, so it is committed again under this epoch.
         self.propose(now, base.value)
 
     def join_late_voter(self, now: float, voter: str, promise: Promise) -> None:
-        """Count a voter that promised after the majority, unless it holds a record that this epoch does not follow."""
+        """Add a voter that promised after the majority, or hand over if this epoch does not follow its record."""
         if not self.election.is_new_promise(voter, promise):
             return
         if not self.replication.continues_from(promise.record, self.epoch):
-            reason = f"{voter} holds a later record than this epoch began with"
+            reason = f"{voter} holds a later record than the one that this epoch continues from"
             self.hand_over(now, None, reason)
             return
         self.election.promises[voter] = promise
         self.replication.forget_ack(voter)
 
     def on_rejection(self, now: float, voter: str, rejection: Rejection) -> None:
-        """A voter rejected a request."""
+        """Handle a voter's rejection of a request."""
         self.highest_epoch = max(self.highest_epoch, rejection.promised_epoch)
         if rejection.epoch != self.epoch:
             return
@@ -208,12 +209,12 @@
     # The lease
 
     def renew(self, now: float) -> None:
-        """Start a round of renewals if one is due."""
+        """Start a renewal round if one is due."""
         if now < self.renewal.next_at:
             return
         is_settled = not self.has_pending_record and self.replication.committed is not None
         if self.election.needs_later_epoch and is_settled:
-            # The voters' leases are this process's own: they all promise the later epoch at once.
+            # Voters promise a later epoch at once to the process whose lease they hold.
             self.start_election(now)
             return
         self.renewal.next_at = now + self.settings.renewal_interval
@@ -222,10 +223,10 @@
         committed_step = committed.step if committed is not None else 0
         request = RenewRequest(self.job, self.epoch, number, committed_step)
         self.send(request, tuple(self.election.promises))
-        self.send_prepare()  # a voter that was away may join
+        self.send_prepare()  # a voter that was unreachable may promise now
 
     def on_renew_reply(self, voter: str, reply: RenewReply) -> None:
-        """A voter extended the lease; with a majority's replies it counts from when the round was sent."""
+        """Handle a voter's renewal. A majority's replies extend the lease from when the round was sent."""
         if reply.epoch != self.epoch or self.phase is not Phase.HOLDING:
             return
         sent_at = self.renewal.record_reply(
@@ -235,7 +236,7 @@
             self.lease_expires_at = max(self.lease_expires_at, self._holder_deadline(sent_at))
 
     def stop(self, now: float, reason: str) -> None:
-        """Stop holding the lease: no act under this epoch from here on."""
+        """Stop holding the lease; this process does not act under this epoch any more."""
         if self.phase is Phase.HOLDING:
             self.events.append(CandidateEvent.LEASE_LOST)
             self.backoff.record_loss(now)
@@ -245,7 +246,10 @@
         self.replication.pending = None
 
     def hand_over(self, now: float, successor: str | None, reason: str) -> None:
-        """Stop, then release the voters, then offer the job to the successor. Its election takes one round trip."""
+        """Stop holding the lease, then release the voters, then offer the job to the successor.
+
+        The successor's election takes one round trip, because the voters need not wait for the lease to expire.
+        """
         if self.phase is Phase.HOLDING:
             self.stop(now, reason)
             pause = HANDOVER_PAUSE_LEASES * self.settings.lease_seconds
@@ -259,7 +263,7 @@
     # Records
 
     def propose(self, now: float, value: bytes) -> None:
-        """Replicate the job's next record. It counts once `committed` is that record."""
+        """Replicate the job's next record. It takes effect once `committed` is that record."""
         assert self.phase is Phase.HOLDING
         assert not self.has_pending_record
         assert len(value) <= MAX_VALUE_BYTES
@@ -276,11 +280,11 @@
             self.send(request, (voter,))
 
     def on_accepted(self, now: float, voter: str, ack: Accepted) -> None:
-        """A voter accepted a record."""
+        """Handle a voter's acknowledgement of a record."""
         promise = self.election.promises.get(voter)
         if self.replication.record_ack(voter, ack, promise, self.settings.quorum_size):
             self.events.append(CandidateEvent.RECORD_COMMITTED)
-            # The next renewal tells the voters which step is committed.
+            # The next renewal reports the committed step to the voters.
             self.renewal.next_at = min(self.renewal.next_at, now)
 
     # Messages
@@ -300,17 +304,17 @@
                 self.on_accepted(now, voter, message)
 
     def send(self, message: Message, receivers: tuple[str, ...]) -> None:
-        """Put a message to each of these into the outbox."""
+        """Add the message to the outbox once for each receiver."""
         self.outbox += [(receiver, message) for receiver in receivers]
 
-    # Times
+    # Durations and deadlines
 
     def _resend_seconds(self) -> float:
         return RESEND_FRACTION * self.settings.lease_seconds
 
     def _election_deadline(self) -> float:
-        return self.election.started_at + ELECTION_FRACTION * self.settings.lease_seconds
+        return self.election.started_at + ELECTION_TIMEOUT_FRACTION * self.settings.lease_seconds
 
     def _holder_deadline(self, sent_at: float) -> float:
-        """The end of a lease whose request was sent at that time."""
+        """When a lease ends whose request was sent at `sent_at`."""
         return sent_at + self.settings.holder_lease_seconds
--- a/stepknot/leases/errors.py
+++ b/stepknot/leases/errors.py
@@ -10,16 +10,16 @@
 
 
 class CommandRejectedError(LeaseError, ValueError):
-    """An operator's command that cannot be taken; the message is shown to the operator."""
+    """An operator's command cannot be accepted; the message is shown to the operator."""
 
 
 class VoterStateError(LeaseError):
-    """A voter's stored state that cannot be used."""
+    """A voter's stored state cannot be used."""
 
 
 class DamagedVoterStateError(VoterStateError):
-    """The file's content is not what was written."""
+    """The stored state is incomplete or altered."""
 
 
 class VoterStateMismatchError(VoterStateError):
-    """An intact state of another fleet, another voter or another format version: not used and not moved."""
+    """The stored state is intact but of another fleet, voter or format version; it is neither used nor moved."""
--- a/stepknot/leases/job.py
+++ b/stepknot/leases/job.py
@@ -1,4 +1,4 @@
-"""One job as seen by this broker: what the job does, who holds its lease, which record is the newest."""
+"""A broker's view of one job: what the job does, which process holds its lease, and which record is the newest."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from stepknot.leases.placement import rank_members
 from stepknot.leases.settings import LeaseSettings
 
-TURN_FRACTION = 0.5  # of a lease, that each next member in rank waits longer before its election
-QUERY_INTERVAL_LEASES = 2.0  # between two queries to the voters, once a majority has reported
+RANK_DELAY_FRACTION = 0.5  # delay of an election for each member that ranks higher, as a fraction of the lease
+QUERY_INTERVAL_LEASES = 2.0  # interval between queries to the voters once the fence is ready, in leases
 
 
 def _do_nothing(now: float, value: bytes) -> None:
-    """The default where a job need not know that this broker acquired its lease."""
+    """The default for a job that does nothing when this broker acquires its lease."""
     del now, value
 
 
 @dataclass(slots=True)
 class JobHandler:
-    """What a job does; its callbacks are called by `LeaseNode`.
+    """What a job does: callbacks that `LeaseNode` calls.
 
     Attributes:
-        next_value: Gets the time and the committed value; returns the next one when it is due, else None.
-        apply_command: Gets the committed value, a command's number and body; returns the next value.
-            Raises ValueError where the command is rejected.
-        apply_record: Gets each committed record, the newest only.
-        on_lease_acquired: Gets the time and the committed value; called when this broker holds the lease and the
+        next_value: Receives the time and the committed value; returns the next value if it is due, else None.
+        apply_command: Receives the committed value, a command's number and its body; returns the next value.
+            Raises ValueError if the command is rejected.
+        apply_record: Receives each committed record that is newer than all before.
+        on_lease_acquired: Receives the time and the committed value; called when this broker holds the lease and the
             first record of its epoch is committed.
     """
 
@@ -47,14 +47,14 @@
     candidate: LeaseCandidate
     handler: JobHandler
     fence: Fence
-    holder_name: str = ""  # who announced last that it holds the lease
+    holder_name: str = ""  # the process that last announced that it holds the lease
     holder_epoch: int = 0
     holder_seen_at: float = -math.inf
     holder_missing_since: float = math.inf  # infinite while a holder is known
     queried_at: float = -math.inf
     announce_at: float = -math.inf
-    announced_version: tuple[int, int] = (0, 0)  # last sent to all members with its value
-    # Commands that were taken here and are not committed yet: who sent each, by its number.
+    announced_version: tuple[int, int] = (0, 0)  # the last version whose value was sent to all members
+    # Commands that this lease holder proposed and that are not committed yet: the sender's name by command number.
     uncommitted_commands: dict[str, str] = field(default_factory=dict)
 
     @property
@@ -66,10 +66,10 @@
     def _settings(self) -> LeaseSettings:
         return self.candidate.settings
 
-    def is_turn_of(
+    def is_election_turn(
         self, now: float, own_name: str, members: list[str], is_member: Callable[[str], bool]
     ) -> bool:
-        """Whether no lease holder is known and the members before this one in rank had their time."""
+        """Whether no lease holder is known and the members that rank higher have had time for an election."""
         lease_seconds = self._settings.lease_seconds
         if now - self.holder_seen_at <= lease_seconds and is_member(self.holder_name):
             self.holder_missing_since = math.inf
@@ -77,17 +77,17 @@
         self.holder_missing_since = min(self.holder_missing_since, now)
         ranked = rank_members(self.name, members)
         rank = ranked.index(own_name) if own_name in ranked else len(ranked)
-        return now >= self.holder_missing_since + TURN_FRACTION * lease_seconds * rank
+        return now >= self.holder_missing_since + RANK_DELAY_FRACTION * lease_seconds * rank
 
     def is_query_due(self, now: float) -> bool:
-        """Whether to ask the voters what they hold: often until a majority has reported, then seldom."""
+        """Whether to query the voters' records: at each renewal interval until the fence is ready, then seldom."""
         query_interval = QUERY_INTERVAL_LEASES * self._settings.lease_seconds
         if self.fence.ready and now < self.queried_at + query_interval:
             return False
         return now >= self.queried_at + self._settings.renewal_interval
 
     def next_announcement(self, now: float) -> CommitNotice | None:
-        """As the lease holder: the notice that is due, with the record's value when it is new."""
+        """The lease holder's notice if one is due, with the record's value if that was not announced before."""
         committed = self.candidate.committed
         assert committed is not None
         is_new = committed.version != self.announced_version
@@ -99,13 +99,13 @@
         return CommitNotice(self.name, committed.epoch, committed.step, value)
 
     def record_holder(self, now: float, name: str, epoch: int) -> None:
-        """Take a process's announcement that it holds the lease."""
+        """Record that a process holds the lease, by its announcement or because it is this one."""
         self.holder_name = name
         self.holder_epoch = epoch
         self.holder_seen_at = now
 
-    def note_epoch(self, epoch: int) -> None:
-        """An epoch that another process knows: the next election goes above it."""
+    def record_epoch(self, epoch: int) -> None:
+        """Record an epoch that another process knows, so that the next election uses a later one."""
         self.candidate.highest_epoch = max(self.candidate.highest_epoch, epoch)
 
     def admit_record(self, record: LedgerRecord) -> None:
--- a/stepknot/leases/job_protocol.py
+++ b/stepknot/leases/job_protocol.py
@@ -1,4 +1,4 @@
-"""A broker's part in one job: it drives the candidate, announces records, applies them, and takes commands."""
+"""The lease protocol for one job: drives the candidate, announces and applies records, and handles commands."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 from stepknot.leases.settings import LeaseSettings, ProcessId
 
 MAX_ERROR_CHARACTERS = 300
-STOP_REASON = "told to stop"
+SHUTDOWN_REASON = "the broker is shutting down"
 
 
 @dataclass(slots=True)
 class NodeContext:
-    """What the jobs of a broker share; `LeaseNode` changes `members` and `is_leaving`."""
+    """State that the jobs of a broker share; `LeaseNode` changes `members` and `is_leaving`."""
 
     process: ProcessId
     settings: LeaseSettings
@@ -47,20 +47,20 @@
 
 
 class JobProtocol:
-    """Carries out the protocol for one job."""
+    """Runs the lease protocol for one job in one broker."""
 
     def __init__(self, job: Job, context: NodeContext) -> None:
-        """The context is shared with the broker's other jobs."""
+        """Create the protocol of `job`; `context` is shared with the broker's other jobs."""
         self.job = job
         self._context = context
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Run the candidate's periodic work, and propose, announce or query the job's record if that is due."""
         candidate = self.job.candidate
-        is_own_turn = self.job.is_turn_of(
+        is_own_turn = self.job.is_election_turn(
             now, self._context.process.name, self._context.members, self._context.is_member
         )
-        candidate.tick(now, wanted=is_own_turn and not self._context.is_leaving)
+        candidate.tick(now, is_own_turn=is_own_turn and not self._context.is_leaving)
         self.carry_out(now)
         if candidate.may_act(now):
             self.job.record_holder(now, self._context.process.name, candidate.epoch)
@@ -73,7 +73,7 @@
                 self._context.outbox.send(voter, RecordQuery(self.job.name))
 
     def receive(self, now: float, sender: ProcessId, message: Message) -> None:
-        """Handle a message about this job."""
+        """Handle a message about this job, whether it is for the candidate, the lease holder or a member."""
         match message:
             case Promise() | Rejection() | RenewReply() | Accepted():
                 self.job.candidate.receive(now, sender.name, message)
@@ -92,7 +92,7 @@
                 self._context.commands.record_answer(message.number, message.error)
 
     def carry_out(self, now: float) -> None:
-        """Send what the candidate wants to be sent, and handle its events."""
+        """Send the candidate's messages and handle its events."""
         candidate = self.job.candidate
         outbox, candidate.outbox = candidate.outbox, []
         for receiver, message in outbox:
@@ -103,7 +103,7 @@
             if event is CandidateEvent.RECORD_COMMITTED:
                 self._on_committed(now)
             elif event is CandidateEvent.LEASE_LOST:
-                self.job.uncommitted_commands.clear()  # their senders ask the next lease holder
+                self.job.uncommitted_commands.clear()  # their senders resend them to the next lease holder
                 self._context.outbox.events.append(
                     LeaseLost(self.job.name, candidate.epoch, candidate.reason)
                 )
@@ -127,16 +127,19 @@
         return True
 
     def leave(self, now: float) -> None:
-        """Hand the job over, or abandon an election."""
-        if not self.hand_over(now, STOP_REASON, None):
-            self.job.candidate.hand_over(now, None, STOP_REASON)
+        """Hand the job over, or abandon this broker's election."""
+        if not self.hand_over(now, SHUTDOWN_REASON, None):
+            self.job.candidate.hand_over(now, None, SHUTDOWN_REASON)
             self.carry_out(now)
 
     def on_command(self, now: float, sender: ProcessId, request: CommandRequest) -> None:
-        """As the lease holder: take a command into the ledger. Its sender repeats it if this is not possible yet."""
+        """Propose the record that a command leads to, as the lease holder.
+
+        A command that cannot be handled now gets no reply; its sender resends it.
+        """
         candidate = self.job.candidate
-        is_taken = request.number in self.job.uncommitted_commands
-        if is_taken or candidate.has_pending_record or not candidate.may_act(now):
+        is_proposed = request.number in self.job.uncommitted_commands
+        if is_proposed or candidate.has_pending_record or not candidate.may_act(now):
             return
         committed = candidate.committed
         assert committed is not None
@@ -154,7 +157,7 @@
         self.carry_out(now)
 
     def _propose_next(self, now: float) -> None:
-        """Propose the job's next record if it is due; the caller just checked `may_act`."""
+        """Propose the job's next record if it is due. The caller has checked `may_act`."""
         committed = self.job.candidate.committed
         assert committed is not None
         value = self.job.handler.next_value(now, committed.value)
@@ -162,7 +165,7 @@
             self.job.candidate.propose(now, value)
 
     def _announce(self, now: float) -> None:
-        """Tell all members who holds the lease and which record is committed."""
+        """Notify all other members that this broker holds the lease and which record is committed, if that is due."""
         notice = self.job.next_announcement(now)
         if notice is None:
             return
@@ -171,7 +174,7 @@
                 self._context.outbox.send(member, notice)
 
     def _on_committed(self, now: float) -> None:
-        """A record of this broker's epoch was committed."""
+        """Apply a record that was committed under this broker's epoch, and answer the commands in it."""
         committed = self.job.candidate.committed
         if committed is not None:
             self.job.admit_record(committed)
@@ -185,46 +188,47 @@
             self.job.handler.on_lease_acquired(now, committed.value)
 
     def _on_commit_notice(self, now: float, sender: ProcessId, notice: CommitNotice) -> None:
-        """A lease holder announced itself and its newest committed record."""
+        """Handle a lease holder's announcement of itself and its newest committed record."""
         if notice.epoch < self.job.holder_epoch:
             self._context.counters["told by an earlier owner"] += 1
             return
         self.job.record_holder(now, sender.name, notice.epoch)
-        self.job.note_epoch(notice.epoch)
+        self.job.record_epoch(notice.epoch)
         newest = self.job.fence.newest
         if newest is not None and (notice.epoch, notice.step) <= newest.version:
             return
         if notice.value is None:
             self._context.outbox.send(sender.name, RecordQuery(notice.job))
         elif self.job.fence.ready:
-            # A process that just started may receive from an outdated holder first: it waits for the voters.
+            # The first announcement after a process's start may be an outdated holder's, so the fence has to be ready.
             self.job.admit_record(LedgerRecord(notice.epoch, notice.step, notice.value))
 
     def _on_record_query(self, now: float, sender: ProcessId, query: RecordQuery) -> None:
-        """A member missed a committed record's value."""
+        """Send the committed record to a member that missed its value."""
         committed = self.job.candidate.committed
         if committed is not None and self.job.candidate.may_act(now):
             notice = CommitNotice(query.job, committed.epoch, committed.step, committed.value)
             self._context.outbox.send(sender.name, notice)
 
     def _on_record_report(self, sender: ProcessId, report: RecordReport) -> None:
-        """A voter reported what it holds."""
+        """Handle a voter's report of the record that it holds."""
         if sender.name not in self._context.settings.voters:
             return
-        self.job.note_epoch(report.record.epoch)
+        self.job.record_epoch(report.record.epoch)
         if self.job.fence.record_report(sender.name, report) and self.job.fence.newest is not None:
             self.job.handler.apply_record(self.job.fence.newest)
 
     def _on_handover_offer(self, now: float, offer: HandoverOffer) -> None:
-        """A lease holder that stopped offers the job: start an election at once."""
+        """Start an election at once, because the lease holder stopped and offers the job."""
         candidate = self.job.candidate
         if self._context.is_leaving or candidate.phase is not Phase.IDLE:
             return
-        self.job.note_epoch(offer.epoch)
+        self.job.record_epoch(offer.epoch)
         candidate.start_election(now, released_epoch=offer.epoch)
         self.carry_out(now)
 
     def _answer_command(self, receiver: str, number: str, error: str) -> None:
+        """Send the answer to a command, or record it if the command was given to this broker."""
         if receiver == self._context.process.name:
             self._context.commands.record_answer(number, error)
         else:
--- a/stepknot/leases/messages.py
+++ b/stepknot/leases/messages.py
@@ -1,7 +1,8 @@
 """Messages between brokers about leases, the voter's stored state, and their encoding (MessagePack).
 
-All structs are arrays on the wire: the order of fields is the format, names are not sent. A datagram is an array of
-five elements, where one of membership has four: both kinds arrive at the same socket.
+All structs are encoded as arrays: the order of the fields is the format, and names are not sent. A datagram of leases
+is an array of five elements and one of membership an array of four, so a socket that receives both can distinguish
+them by the first byte.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 from stepknot.membership.wire import decode_envelope
 
 VERSION = 1
-MAX_VALUE_BYTES = 900  # of a job's record
+MAX_VALUE_BYTES = 900  # maximum length of the value of a job's record
 MAX_JOBS = 64
 MAX_EPOCH = 2**50
 MAX_VOTERS = 7
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
-JobCursor = Annotated[str, msgspec.Meta(max_length=64)]  # a job's name, or empty: before the first
+JobCursor = Annotated[str, msgspec.Meta(max_length=64)]  # a job's name; empty: before the first job
 Epoch = Annotated[int, msgspec.Meta(ge=0, lt=MAX_EPOCH)]
 Step = Annotated[int, msgspec.Meta(ge=0, lt=2**50)]
 Incarnation = Annotated[int, msgspec.Meta(ge=0, lt=2**31)]
@@ -42,48 +43,48 @@
         return self.epoch, self.step
 
 
-NO_RECORD = LedgerRecord()  # before the first
+NO_RECORD = LedgerRecord()  # stands for an empty ledger
 
 
 class PrepareRequest(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """A candidate asks a voter to promise the job to it under this epoch."""
+    """A candidate's request that a voter promise the job to it under this epoch."""
 
     job: Name
     epoch: Epoch
-    released_epoch: Epoch = 0  # the epoch whose lease holder handed the job over to the sender
+    released_epoch: Epoch = 0  # the epoch whose lease holder handed the job over to the sender; 0: none
 
 
 class Promise(msgspec.Struct, array_like=True, tag=2, frozen=True):
-    """A voter promised the epoch; it reports the record that it holds."""
+    """A voter's promise of the epoch, with the record that it holds."""
 
     job: Name
     epoch: Epoch
-    incarnation: Incarnation  # of the voter: it grows when the voter loses its state
-    incarnations: Incarnations  # of all voters, as far as this one knows
+    incarnation: Incarnation  # the voter's own; it grows each time the voter loses its state
+    incarnations: Incarnations  # the newest incarnation of each voter that this voter knows
     record: LedgerRecord
 
 
 class Rejection(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """A voter rejected a request."""
+    """A voter's rejection of a request."""
 
     job: Name
-    epoch: Epoch  # of the request
+    epoch: Epoch  # the request's
     promised_epoch: Epoch
     retry_after_ms: Milliseconds
     reason: Annotated[str, msgspec.Meta(max_length=80)]
 
 
 class RenewRequest(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """The lease holder asks a voter to extend the lease."""
+    """The lease holder's request that a voter extend the lease."""
 
     job: Name
     epoch: Epoch
-    number: Step  # of the renewal round: the reply repeats it
+    number: Step  # the renewal round's number, which the reply repeats
     committed_step: Step  # the newest committed step of this epoch
 
 
 class RenewReply(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """A voter extended the lease."""
+    """A voter's confirmation that it extended the lease."""
 
     job: Name
     epoch: Epoch
@@ -93,15 +94,15 @@
 
 
 class AcceptRequest(msgspec.Struct, array_like=True, tag=6, frozen=True):
-    """The lease holder asks a voter to accept a record."""
+    """The lease holder's request that a voter accept a record."""
 
     job: Name
-    incarnation: Incarnation  # of the voter when it promised
+    incarnation: Incarnation  # the voter's incarnation in its promise
     record: LedgerRecord
 
 
 class Accepted(msgspec.Struct, array_like=True, tag=7, frozen=True):
-    """A voter has the record on disk."""
+    """A voter's confirmation that it accepted a record and has it on disk."""
 
     job: Name
     epoch: Epoch
@@ -111,63 +112,63 @@
 
 
 class ReleaseNotice(msgspec.Struct, array_like=True, tag=8, frozen=True):
-    """The sender does not hold the lease any more, or never did: voters may promise the job to another process."""
+    """The sender does not hold the lease, or gave up its election: voters may promise the job to another process."""
 
     job: Name
     epoch: Epoch
 
 
 class HandoverOffer(msgspec.Struct, array_like=True, tag=9, frozen=True):
-    """A lease holder that stopped asks the receiver to become the next one."""
+    """The request of a lease holder that stopped, that the receiver become the next holder."""
 
     job: Name
     epoch: Epoch
 
 
 class CommitNotice(msgspec.Struct, array_like=True, tag=10, frozen=True):
-    """The lease holder announces itself and the newest committed record to all members, at intervals."""
+    """The lease holder's periodic announcement of itself and the newest committed record to all members."""
 
     job: Name
     epoch: Epoch
     step: Step
-    value: Value | None  # none where the record was announced with its value before
+    value: Value | None  # None if the record was already announced with its value
 
 
 class RecordQuery(msgspec.Struct, array_like=True, tag=11, frozen=True):
-    """Asks a voter which record it holds, and a lease holder which record is committed."""
+    """A query to a voter for the record that it holds, and to a lease holder for the committed record."""
 
     job: Name
 
 
 class RecordReport(msgspec.Struct, array_like=True, tag=12, frozen=True):
-    """A voter reports the record that it holds."""
+    """A voter's report of the record that it holds."""
 
     job: Name
     incarnation: Incarnation
     incarnations: Incarnations
     record: LedgerRecord
-    committed_step: Step  # of the record's epoch
+    committed_step: Step  # the newest step of the record's epoch that this voter knows to be committed
 
 
 class IncarnationQuery(msgspec.Struct, array_like=True, tag=13, frozen=True):
-    """A voter that lost its state asks which incarnation of it the receiver knows."""
+    """The question of a voter that lost its state, which incarnation of it the receiver knows."""
 
 
 class IncarnationReply(msgspec.Struct, array_like=True, tag=14, frozen=True):
-    """The newest incarnation of the receiver that the sender knows."""
+    """The newest incarnation of the receiving voter that the sender knows."""
 
     incarnation: Incarnation
 
 
 class RecoveryRequest(msgspec.Struct, array_like=True, tag=15, frozen=True):
-    """A recovering voter announces its new incarnation and asks for the state of the next job by name."""
+    """A recovering voter's new incarnation and its request for the state of the job that follows `after_job`."""
 
     incarnation: Incarnation
     after_job: JobCursor
 
 
 class VoterJobState(msgspec.Struct, array_like=True, frozen=True):
-    """What a voter stores of one job."""
+    """A voter's stored state of one job."""
 
     job: Name
     promised_epoch: Epoch
@@ -177,15 +178,15 @@
 
 
 class RecoveryReply(msgspec.Struct, array_like=True, tag=16, frozen=True):
-    """The state of the first job after `after_job` in the order of names; none if there is no further job."""
+    """The state of the first job after `after_job` in the order of names; None if there is no further job."""
 
-    incarnation: Incarnation  # of the recovering voter
+    incarnation: Incarnation  # the recovering voter's new incarnation
     after_job: JobCursor
     state: VoterJobState | None
 
 
 class CommandRequest(msgspec.Struct, array_like=True, tag=17, frozen=True):
-    """An operator's command for a job, sent to the lease holder again until it is answered."""
+    """An operator's command for a job, which is resent to the lease holder until it is answered."""
 
     job: Name
     number: CommandNumber
@@ -197,7 +198,7 @@
 
     job: Name
     number: CommandNumber
-    error: Annotated[str, msgspec.Meta(max_length=300)]  # empty: the command is in the ledger
+    error: Annotated[str, msgspec.Meta(max_length=300)]  # empty if the command is in the ledger
 
 
 Message = (
@@ -223,7 +224,7 @@
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """One datagram."""
+    """One datagram: a message with the fleet and process that it comes from."""
 
     version: int
     fleet: Annotated[str, msgspec.Meta(max_length=64)]
@@ -233,7 +234,7 @@
 
 
 class VoterState(msgspec.Struct, array_like=True, frozen=True):
-    """What a voter stores on disk."""
+    """A voter's state as it is stored on disk."""
 
     fleet: str
     voter: str
@@ -244,11 +245,11 @@
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Envelope)
-DATAGRAM_MARK = _encoder.encode([None] * 5)[:1]  # the first byte of each datagram of leases
+DATAGRAM_MARK = _encoder.encode([None] * 5)[:1]  # the first byte of every lease datagram
 
 
 def encode(fleet: str, sender: ProcessId, message: Message) -> bytes:
-    """Encode a datagram."""
+    """Encode a message of this sender as a datagram."""
     return _encoder.encode(Envelope(VERSION, fleet, *sender, message))
 
 
@@ -256,6 +257,6 @@
     """Decode a datagram of this fleet.
 
     Raises:
-        DatagramError: It is too long, malformed, of another version or of another fleet.
+        DatagramError: The datagram is too long, malformed, of another version or of another fleet.
     """
     return decode_envelope(_decoder, VERSION, data, fleet)
--- a/stepknot/leases/node.py
+++ b/stepknot/leases/node.py
@@ -1,6 +1,6 @@
-"""One broker's part in leases: its voter, its jobs and its operators' commands. No I/O, no clock.
+"""One broker's lease node: its voter, its jobs and its operators' commands. No I/O, no clock.
 
-The driver passes in datagrams and ticks, and takes out datagrams, the voter's state and events.
+The driver passes in datagrams and ticks, and carries out the output: datagrams, the voter's state and events.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 class LeaseNode:
-    """Dispatches messages to the voter and to the jobs."""
+    """Passes messages, ticks and commands to the voter and the jobs of one broker, and collects their output."""
 
     def __init__(
         self,
@@ -59,23 +59,24 @@
         seed: int,
         is_member: Callable[[str], bool],
     ) -> None:
-        """Take the voter and the jobs.
+        """Create a node with one job for each handler.
 
         Args:
             process: This process.
-            settings: The voters and the lease.
-            voter: This broker's voter, if it is one.
+            settings: The voters and the lease's duration.
+            voter: This broker's voter; None if the broker is not one of the voters.
             handlers: What each job does, by the job's name.
-            seed: Of the random pauses between elections.
-            is_member: Whether membership sees that name alive: a hint for whose turn it is.
+            seed: The seed of the random pauses between elections.
+            is_member: Whether membership reports a member of that name as alive. The answer only influences when this
+                broker starts an election.
         """
         self.process = process
         self.settings = settings
         self.voter = voter
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         self.jobs = {
             name: Job(
-                LeaseCandidate(name, process, settings, chance.getrandbits(60)),
+                LeaseCandidate(name, process, settings, rng.getrandbits(60)),
                 handler,
                 Fence(settings.quorum_size),
             )
@@ -91,13 +92,13 @@
 
     @property
     def counters(self) -> Counter[str]:
-        """Counts of what happened; the names are labels of a metric."""
+        """Counts of events and dropped datagrams; the names are labels of a metric."""
         return self._context.counters
 
     # Input
 
     def tick(self, now: float, members: list[str]) -> None:
-        """Do what is due. `members`: all that membership sees alive, this broker among them."""
+        """Run the periodic work. `members` are all members that are alive, including this broker."""
         self._context.members = members
         self._start(now)
         if self.voter is not None:
@@ -108,7 +109,7 @@
         self._send_commands(now)
 
     def receive(self, now: float, data: bytes) -> None:
-        """Handle a datagram. One that cannot be used is counted by its reason."""
+        """Handle a datagram. One that cannot be decoded is dropped and counted by the reason."""
         self._start(now)
         try:
             envelope = decode(data, self.settings.fleet)
@@ -127,30 +128,30 @@
         return self._protocols[name].hand_over(now, reason, successor)
 
     def leave(self, now: float) -> None:
-        """Shut down gracefully: hand all jobs over, and start no election again."""
+        """Prepare for shutdown: hand all jobs over and start no further election."""
         self._context.is_leaving = True
         for protocol in self._protocols.values():
             protocol.leave(now)
 
     def submit_command(self, now: float, job: str, number: str, body: bytes) -> None:
-        """Take an operator's command and pass it to the lease holder; `take_command_answer` has the answer.
+        """Accept an operator's command and send it to the lease holder; `take_command_answer` returns the answer.
 
         Raises:
-            CommandRejectedError: The job is unknown, the command too long, or too many wait.
+            CommandRejectedError: The job is unknown, the command is too long, or too many commands are waiting.
         """
         if job not in self.jobs:
-            raise CommandRejectedError(f"no job {job}; known: {', '.join(self.jobs)}")
+            raise CommandRejectedError(f"no job is named {job}; known jobs: {', '.join(self.jobs)}")
         self._commands.add(now, job, number, body)
         self._send_commands(now)
 
     def take_command_answer(self, number: str) -> str | None:
-        """The answer to a command, given once: empty if it is in the ledger, else the error; None while it waits."""
+        """The answer to a command, returned once: empty if it is in the ledger, else the error; None before that."""
         return self._commands.take_answer(number)
 
     # Output
 
     def take_output(self) -> NodeOutput:
-        """What is to be carried out since the last call."""
+        """Return the output since the last call, for the driver to carry out."""
         voter_state = None
         if self.voter is not None and self.voter.unsaved:
             self.voter.unsaved = False
@@ -160,7 +161,7 @@
     # Helpers
 
     def _start(self, now: float) -> None:
-        """At the first call: a lease holder has a lease's time to announce itself."""
+        """On the first call, start the voter and take every job's lease holder as missing from now on."""
         if self._is_started:
             return
         self._is_started = True
@@ -180,7 +181,7 @@
             protocol.receive(now, sender, message)
 
     def _send_commands(self, now: float) -> None:
-        """Pass waiting commands to the lease holders, this broker itself among them."""
+        """Send the commands that are due to the lease holders, which may be this broker itself."""
         self._commands.expire(now)
         for number, command in self._commands.due(now):
             job = self.jobs[command.job]
--- a/stepknot/leases/placement.py
+++ b/stepknot/leases/placement.py
@@ -1,6 +1,6 @@
 """The order in which members become candidates for a job: rendezvous hashing (Thaler and Ravishankar 1998).
 
-It only keeps members from competing. Safety does not depend on it.
+The order reduces the number of competing candidates. Safety does not depend on it.
 """
 
 from __future__ import annotations
@@ -15,5 +15,5 @@
 
 
 def rank_members(job: str, members: Iterable[str]) -> list[str]:
-    """The members, preferred candidate first. A new member only moves the jobs that it is now first for."""
+    """The members, preferred candidate first. A new member becomes first for some jobs; the others keep their first."""
     return sorted(members, key=lambda name: (rendezvous_weight(job, name), name), reverse=True)
--- a/stepknot/leases/quorum.py
+++ b/stepknot/leases/quorum.py
@@ -1,4 +1,4 @@
-"""Which of several voters' replies count towards a majority (invariant 3)."""
+"""Which voters' replies are valid and count towards a majority (invariant 3)."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def valid_voters(replies: Mapping[str, VoterReply]) -> list[str]:
-    """The voters whose reply counts: no reply names a later incarnation of that voter."""
+    """The voters whose reply is valid: no reply reports a later incarnation of that voter."""
     newest: dict[str, int] = {}
     for reply in replies.values():
         for voter, incarnation in reply.incarnations.items():
@@ -30,5 +30,5 @@
 
 
 def has_quorum(replies: Mapping[str, VoterReply], quorum_size: int) -> bool:
-    """Whether at least `quorum_size` of the replies count."""
+    """Whether at least `quorum_size` of the replies are valid."""
     return len(valid_voters(replies)) >= quorum_size
--- a/stepknot/leases/recovery.py
+++ b/stepknot/leases/recovery.py
@@ -1,7 +1,7 @@
-"""Recovery of a voter that lost its state: first its new incarnation, then what the other voters hold (invariant 5).
+"""Recovery of a voter that lost its state: it gets a new incarnation and reads the other voters' state (invariant 5).
 
-The recovering voter asks the others which incarnation of it they know, takes the next one, has a majority of the
-others store it, and reads their state one job at a time.
+The recovering voter asks the others which incarnation of it they know, adopts the next one, and reads the others'
+state one job at a time. Each request carries the new incarnation, which the receiver stores before it replies.
 """
 
 from __future__ import annotations
@@ -17,25 +17,26 @@
     VoterJobState,
 )
 
-RESEND_FRACTION = 0.1  # of a lease, between two requests to a voter that did not answer
+RESEND_FRACTION = 0.1  # interval at which unanswered requests are resent, as a fraction of the lease
 
 
 @dataclass(slots=True)
 class VoterRecovery:
-    """Progress of one recovery. `others` are the other voters."""
+    """Progress of the recovery of this broker's voter."""
 
-    others: list[str]
+    other_voters: list[str]
     resend_seconds: float
-    known_incarnations: dict[str, int] = field(default_factory=dict)  # ours, by voter that replied
-    cursors: dict[str, str] = field(default_factory=dict)  # by voter: the job that it reported last
-    finished_voters: set[str] = field(default_factory=set)  # that reported all their jobs
-    incarnation: int = 0  # 0: not known yet
+    # The recovering voter's incarnation that each other voter reported, by that voter.
+    known_incarnations: dict[str, int] = field(default_factory=dict)
+    cursors: dict[str, str] = field(default_factory=dict)  # the last job that each other voter reported, by voter
+    finished_voters: set[str] = field(default_factory=set)  # the other voters that reported all their jobs
+    incarnation: int = 0  # the new incarnation; 0: not known yet
     resend_at: float = -math.inf
 
     @property
     def majority_finished(self) -> bool:
-        """Whether a majority of the others reported all their jobs."""
-        return len(self.finished_voters) > len(self.others) // 2
+        """Whether a majority of the other voters reported all their jobs."""
+        return len(self.finished_voters) > len(self.other_voters) // 2
 
     def due_requests(self, now: float) -> list[tuple[str, Message]]:
         """The requests to send now, each with its receiver."""
@@ -43,31 +44,31 @@
             return []
         self.resend_at = now + self.resend_seconds
         if not self.incarnation:
-            return [(each, IncarnationQuery()) for each in self.others]
+            return [(each, IncarnationQuery()) for each in self.other_voters]
         return [
             (each, RecoveryRequest(self.incarnation, self.cursors.get(each, "")))
-            for each in self.others
+            for each in self.other_voters
             if each not in self.finished_voters
         ]
 
     def record_incarnation(self, now: float, voter: str, incarnation: int) -> None:
-        """Take the incarnation of this voter that another one knows.
+        """Record the incarnation of the recovering voter that another voter knows.
 
-        A majority of the others stored each incarnation whose recovery finished. Any two such majorities share a
-        voter, so the next incarnation is new.
+        A majority of the other voters stored each incarnation whose recovery finished. Any two such majorities share
+        a voter, so an incarnation that is greater than all that a majority reports is new.
         """
-        if self.incarnation or voter not in self.others:
+        if self.incarnation or voter not in self.other_voters:
             return
         self.known_incarnations[voter] = incarnation
-        if len(self.known_incarnations) > len(self.others) // 2:
+        if len(self.known_incarnations) > len(self.other_voters) // 2:
             self.incarnation = max(self.known_incarnations.values()) + 1
             self.resend_at = now
 
     def record_reply(self, now: float, voter: str, reply: RecoveryReply) -> VoterJobState | None:
-        """Take another voter's state of one job; returns it where it is new."""
+        """Record another voter's reply; returns the state in it, unless it has none or is void or a duplicate."""
         if not self.incarnation or reply.incarnation != self.incarnation:
             return None
-        if voter not in self.others or voter in self.finished_voters:
+        if voter not in self.other_voters or voter in self.finished_voters:
             return None
         if reply.after_job != self.cursors.get(voter, ""):
             return None  # a duplicate of an earlier reply
--- a/stepknot/leases/replication.py
+++ b/stepknot/leases/replication.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class PendingRecord:
-    """A record that is not committed yet."""
+    """A proposed record that is not committed yet."""
 
     record: LedgerRecord
     acks: dict[str, Accepted] = field(default_factory=dict)  # by voter
@@ -21,26 +21,26 @@
 
 @dataclass(slots=True)
 class RecordReplication:
-    """The lease holder's side of a job's ledger."""
+    """The lease holder's state of a job's ledger."""
 
-    base: LedgerRecord = NO_RECORD  # the newest record when this epoch began
-    step: int = 0  # of the last record that was proposed under this epoch
+    base: LedgerRecord = NO_RECORD  # the newest record that the majority reported when this epoch began
+    step: int = 0  # step of the last record that was proposed under this epoch
     pending: PendingRecord | None = None
-    committed: LedgerRecord | None = None  # the newest one under this epoch
+    committed: LedgerRecord | None = None  # the newest record that is committed under this epoch
 
     def reset(self) -> None:
-        """A new election begins: nothing is committed under its epoch."""
+        """Forget the records of the previous epoch because a new election begins."""
         self.step = 0
         self.pending = None
         self.committed = None
 
     def propose(self, epoch: int, value: bytes) -> None:
-        """Begin to replicate the next record."""
+        """Make a record with this value the pending record under the next step."""
         self.step += 1
         self.pending = PendingRecord(LedgerRecord(epoch, self.step, value))
 
     def voters_to_send(self, now: float, resend_seconds: float, voters: Iterable[str]) -> list[str]:
-        """The voters among these that are to be sent the pending record now."""
+        """Select the voters, out of `voters`, to which the pending record has to be sent now."""
         pending = self.pending
         if pending is None or now < pending.send_at:
             return []
@@ -48,14 +48,14 @@
         return [voter for voter in voters if voter not in pending.acks]
 
     def forget_ack(self, voter: str) -> None:
-        """The voter promised anew after it lost its state: its acknowledgement does not count."""
+        """Discard the acknowledgement of a voter that lost its state after it and has promised again."""
         if self.pending is not None:
             self.pending.acks.pop(voter, None)
 
     def record_ack(
         self, voter: str, ack: Accepted, promise: Promise | None, quorum_size: int
     ) -> bool:
-        """Take a voter's acknowledgement; returns whether the pending record is committed by it (invariant 4)."""
+        """Record a voter's acknowledgement; returns whether the pending record is committed by it (invariant 4)."""
         pending = self.pending
         if pending is None or (ack.epoch, ack.step) != pending.record.version:
             return False
@@ -69,9 +69,9 @@
         return True
 
     def continues_from(self, record: LedgerRecord, epoch: int) -> bool:
-        """Whether this epoch's records follow a record that a late voter holds.
+        """Whether this epoch's records follow the record that a voter reports with a late promise.
 
-        They do where the record is this epoch's own, or is not newer than the one that the epoch began with.
+        They do if the record is this epoch's own, or is not newer than the one that the epoch continues from.
         """
         if record.version <= self.base.version:
             return True
--- a/stepknot/leases/rolling_drains.py
+++ b/stepknot/leases/rolling_drains.py
@@ -1,8 +1,8 @@
-"""The rolling drains job: what an operator commanded, its progress and its next step, as one small ledger record.
+"""The rolling drains job: it drains a zone's nodes a few at a time. Plan and progress are one small ledger record.
 
-A step drains one node or gives back the one that is drained longest. Nodes are drained in the order of their addresses,
-from the last drained one on, so that none is drained twice and none is left out; a node that joins behind that place
-is not part of the drain. No more than `max_drained` are drained at a time.
+A step drains one node, or returns the node to service that has been drained longest. Nodes are drained in the order of
+their addresses, so that none is drained twice and none is left out; a node that joins with an address before the last
+drained one's is not part of the drain. At most `max_drained` nodes are drained at a time.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 
 JOB_NAME = "drains"
 MAX_DRAINED = 16
-MAX_REMEMBERED_COMMANDS = 8  # whose repetition is recognized
-IDLE_PAUSE = 1.0  # seconds until the next look where nothing was commanded
-OPERATOR_REASON = "an operator's word"
+MAX_REMEMBERED_COMMANDS = 8  # number of the latest commands whose repetition is recognized
+IDLE_CHECK_SECONDS = 1.0  # interval between two checks for a step while there is no plan
+OPERATOR_REASON = "an operator's word"  # stored in ledger records
 Address = Annotated[str, msgspec.Meta(max_length=64)]
 
 
 class DrainStatus(StrEnum):
-    """Progress of the last drain that was commanded."""
+    """The status of the last drain that was commanded."""
 
     NONE = "none"
     RUNNING = "running"
-    HALTED = "halted"  # by a condition; it resumes by itself
-    STOPPED = "stopped"  # by an operator
+    HALTED = "halted"  # paused by a condition; it resumes automatically
+    STOPPED = "stopped"  # paused by an operator
     DONE = "done"
     UNDONE = "undone"
 
@@ -40,7 +40,7 @@
 
 
 class DrainPlan(msgspec.Struct, frozen=True):
-    """Drain all nodes of a zone, a few at a time."""
+    """An operator's plan to drain all nodes of a zone, a few at a time."""
 
     zone: Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
     max_drained: Annotated[int, msgspec.Meta(ge=1, le=MAX_DRAINED)] = msgspec.field(
@@ -53,16 +53,16 @@
     max_failing: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = msgspec.field(
         default=1.0, name="failing"
     )
-    force: bool = False  # drain also the last live node of a cell
+    force: bool = False  # also drain the last live node of a cell
 
 
 class DrainCommand(msgspec.Struct, frozen=True):
     """An operator's command: one of these fields is set."""
 
     drain: DrainPlan | None = None
-    stop: bool = False  # no further step; drained nodes stay drained
+    stop: bool = False  # take no further step; drained nodes stay drained
     resume: bool = msgspec.field(default=False, name="go_on")
-    undo: bool = False  # give back all nodes at once
+    undo: bool = False  # end the drain and return all nodes to service at once
 
 
 class DrainState(msgspec.Struct, array_like=True, frozen=True):
@@ -78,7 +78,7 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether a drain has not ended."""
+        """Whether a drain has begun and has not ended."""
         return self.status in ACTIVE_STATUSES
 
 
@@ -88,7 +88,7 @@
 
     zone: str
     cell: int
-    is_live: bool  # as the list says
+    is_live: bool  # according to the list
 
 
 DrainNodes = Mapping[str, DrainNode]  # by address
@@ -101,7 +101,7 @@
     """Decode a ledger record; an empty value is the state before the first command.
 
     Raises:
-        msgspec.DecodeError: The record has not this version's format.
+        msgspec.DecodeError: The record does not have this version's format.
     """
     return _state_decoder.decode(value) if value else DrainState()
 
@@ -110,7 +110,7 @@
     """Encode a ledger record.
 
     Raises:
-        CommandRejectedError: It is too long for a record.
+        CommandRejectedError: The encoded state is longer than a record may be.
     """
     value = _state_encoder.encode(state)
     if len(value) > MAX_VALUE_BYTES:
@@ -130,7 +130,7 @@
         nodes: The endpoint list.
 
     Raises:
-        CommandRejectedError: It is malformed or cannot be carried out now.
+        CommandRejectedError: The command is malformed or cannot be carried out now.
     """
     if number in state.command_numbers:
         return state
@@ -169,7 +169,7 @@
         failing: The fraction of queries that fail at the lease holder.
 
     Returns:
-        The next state; None where nothing changes.
+        The next state; None if nothing changes.
     """
     plan = state.plan
     if plan is None or state.status not in (DrainStatus.RUNNING, DrainStatus.HALTED):
@@ -186,13 +186,13 @@
         if node.zone == plan.zone and node.is_live and address > state.cursor
     )
     if state.drained and (len(state.drained) >= plan.max_drained or not remaining):
-        return _give_back_first(state)
+        return _restore_first(state)
     if not remaining:
         return _replace(state, status=DrainStatus.DONE, step_count=state.step_count + 1)
     address = remaining[0]
     if _is_last_of_cell(nodes, state.drained, address) and not plan.force:
         if state.drained:
-            return _give_back_first(state)
+            return _restore_first(state)
         reason = f"{address} is the last box of cell {nodes[address].cell}"
         return _replace(state, status=DrainStatus.HALTED, reason=reason)
     return _replace(
@@ -204,14 +204,14 @@
 
 
 def begins_drain(before: DrainState, after: DrainState) -> bool:
-    """Whether a command begins a drain, so that its first step need not wait."""
+    """Whether a command has begun a drain, so that its first step is due soon."""
     is_new_plan = before.plan is not after.plan
     return after.status == DrainStatus.RUNNING and is_new_plan and not after.drained
 
 
 def seconds_until_next_step(state: DrainState) -> float:
-    """How long a node stays drained."""
-    return state.plan.step_seconds if state.plan is not None else IDLE_PAUSE
+    """The pause after a step, which is how long a node stays drained."""
+    return state.plan.step_seconds if state.plan is not None else IDLE_CHECK_SECONDS
 
 
 def _begin_drain(
@@ -220,18 +220,18 @@
     """The first state of a drain.
 
     Raises:
-        CommandRejectedError: Another drain is active, the zone has no node, or a cell would lose its last one.
+        CommandRejectedError: Another drain is active, the zone has no node, or a cell would lose its last live node.
     """
     if state.is_active:
         assert state.plan is not None
         raise CommandRejectedError(
             f"a drain of zone {state.plan.zone} is {state.status}: undo it, or let it end"
         )
-    zone = [address for address, node in nodes.items() if node.zone == plan.zone]
-    if not zone:
+    in_zone = [address for address, node in nodes.items() if node.zone == plan.zone]
+    if not in_zone:
         known = ", ".join(sorted({node.zone for node in nodes.values()})) or "none"
         raise CommandRejectedError(f"no box in zone {plan.zone}; zones: {known}")
-    last = [each for each in zone if nodes[each].is_live and _is_last_of_cell(nodes, [], each)]
+    last = [each for each in in_zone if nodes[each].is_live and _is_last_of_cell(nodes, [], each)]
     if last and not plan.force:
         address = min(last)
         raise CommandRejectedError(
@@ -241,7 +241,7 @@
 
 
 def _is_last_of_cell(nodes: DrainNodes, drained: list[str], address: str) -> bool:
-    """Whether no other live node would serve this node's partition of the data."""
+    """Whether no other live node that is not drained serves this node's partition of the data."""
     cell = nodes[address].cell
     return not any(
         node.is_live and node.cell == cell and other != address and other not in drained
@@ -249,8 +249,8 @@
     )
 
 
-def _give_back_first(state: DrainState) -> DrainState:
-    """Give back the node that is drained longest."""
+def _restore_first(state: DrainState) -> DrainState:
+    """Return the node to service that has been drained longest."""
     return _replace(state, drained=state.drained[1:], step_count=state.step_count + 1)
 
 
--- a/stepknot/leases/settings.py
+++ b/stepknot/leases/settings.py
@@ -7,20 +7,20 @@
 
 
 class ProcessId(NamedTuple):
-    """One process of a broker: two processes that run under the same name differ in their birth."""
+    """Identifies one process of a broker."""
 
     name: str
-    birth: int
+    birth: int  # distinguishes processes that run under the same name, such as before and after a restart
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseSettings:
-    """Who votes and how long a lease lasts. `docs/leases.md` derives the defaults."""
+    """The voters and the duration of a lease. `docs/leases.md` derives the defaults."""
 
     voters: tuple[str, ...]
     fleet: str = "stepknot"
     lease_seconds: float = 2.0
-    max_drift: float = 0.05  # upper bound of the difference of two clocks' rates, as a fraction
+    max_drift: float = 0.05  # upper bound on the difference between two clocks' rates, as a fraction
 
     @property
     def quorum_size(self) -> int:
@@ -34,10 +34,10 @@
 
     @property
     def voter_lease_seconds(self) -> float:
-        """How long a voter promises the job to nobody else, counted from its promise."""
+        """How long a voter promises the job to no other process, counted from its promise or renewal."""
         return self.lease_seconds * (1 + self.max_drift)
 
     @property
     def renewal_interval(self) -> float:
-        """Between two renewals, so that two may be lost."""
+        """The interval between renewals, short enough for a lease to outlast two lost renewals in a row."""
         return self.lease_seconds / 4
--- a/stepknot/leases/voter.py
+++ b/stepknot/leases/voter.py
@@ -1,4 +1,4 @@
-"""A voter: what it promises, accepts and stores.
+"""A voter: it promises epochs, extends leases and accepts records, and has the state that has to be stored.
 
 Whenever `unsaved` is true, `state()` has to be on disk before any later reply is sent (invariant 2).
 """
@@ -39,21 +39,21 @@
 
 
 @dataclass(slots=True)
-class VotedJob:
+class VoterJob:
     """A voter's state of one job."""
 
     promised_epoch: int = 0
-    holder: ProcessId = NO_PROCESS  # whom the epoch was promised to
+    holder: ProcessId = NO_PROCESS  # the process that the epoch was promised to
     record: LedgerRecord = NO_RECORD
     lease_expires_at: float = -math.inf  # by this voter's clock; not stored
-    committed_step: int = 0  # of the record's epoch, as its lease holder said; not stored
+    committed_step: int = 0  # the record's epoch is committed up to this step, by its lease holder; not stored
 
     def is_promised_to(self, process: ProcessId, epoch: int) -> bool:
-        """Whether this very epoch was promised to this process."""
+        """Whether the promised epoch is `epoch` and was promised to `process`."""
         return self.promised_epoch == epoch and self.holder == process
 
     def to_state(self, job: str) -> VoterJobState:
-        """The part that is stored."""
+        """The part of the state that is stored."""
         return VoterJobState(
             job, self.promised_epoch, self.holder.name or "-", self.holder.birth, self.record
         )
@@ -63,24 +63,24 @@
     """One voter of the fleet: replies to requests of candidates, lease holders and other voters."""
 
     def __init__(self, name: str, settings: LeaseSettings, stored: VoterState | None) -> None:
-        """Take the stored state, or begin to recover.
+        """Load the stored state, or begin a recovery.
 
         Args:
             name: This broker's name.
-            settings: The fleet's voters and the lease.
-            stored: The state as read from disk; None if it is lost: the voter recovers before it votes.
+            settings: The fleet's voters and the lease's duration.
+            stored: The state as read from disk; None if it is lost, so that the voter has to recover before it votes.
         """
         self.name = name
         self.settings = settings
         self.other_voters = [each for each in settings.voters if each != name]
-        self.jobs: dict[str, VotedJob] = {}
+        self.jobs: dict[str, VoterJob] = {}
         self.incarnation = 0
-        self.known_incarnations = dict.fromkeys(settings.voters, 1)  # each voter begins with 1
-        # Renewals are not stored, so a lease from the start is waited out.
+        self.known_incarnations = dict.fromkeys(settings.voters, 1)  # each voter's first incarnation is 1
+        # Renewals are not stored, so the voter waits for the duration of a lease after its start.
         self.votes_from = math.inf
         self.recovery: VoterRecovery | None = None
         self.unsaved = False
-        self.failure = ""  # why its disk cannot be trusted any more; it replies to nothing then
+        self.failure = ""  # why a save failed; the voter does not reply to any message after that
         if stored is None:
             resend_seconds = settings.lease_seconds * RESEND_FRACTION
             self.recovery = VoterRecovery(self.other_voters, resend_seconds)
@@ -89,16 +89,16 @@
 
     @property
     def is_voting(self) -> bool:
-        """Whether it has its state and its disk works."""
+        """Whether this voter has its state and its disk works."""
         return self.recovery is None and not self.failure
 
     def start(self, now: float) -> None:
-        """Begin to vote a lease from now; a voter that lost its state recovers first."""
+        """Make the voter vote after the duration of a lease from now. One that lost its state recovers first."""
         if self.recovery is None:
             self.votes_from = now + self.settings.voter_lease_seconds
 
     def state(self) -> VoterState:
-        """What has to be on disk."""
+        """The state that has to be on disk."""
         return VoterState(
             self.settings.fleet,
             self.name,
@@ -112,7 +112,7 @@
         return {**self.known_incarnations, self.name: self.incarnation}
 
     def due_requests(self, now: float) -> list[tuple[str, Message]]:
-        """The requests to other voters that a recovery sends now."""
+        """The requests of this voter's recovery that are due now, each with its receiver."""
         if self.recovery is None or self.failure:
             return []
         return self.recovery.due_requests(now)
@@ -131,7 +131,7 @@
         return None if self.recovery is not None else self._reply(now, sender, message)
 
     def _reply(self, now: float, sender: ProcessId, message: Message) -> Message | None:
-        """The reply of a voter that has its state."""
+        """Handle a request to a voter that has its state; returns the reply, if there is one."""
         match message:
             case PrepareRequest():
                 return self.on_prepare(now, sender, message)
@@ -158,7 +158,7 @@
         if job is None and len(self.jobs) >= MAX_JOBS:
             reason = f"{MAX_JOBS} jobs are known here already"
             return Rejection(request.job, request.epoch, 0, TOO_MANY_JOBS_RETRY_MS, reason)
-        job = job or VotedJob()
+        job = job or VoterJob()
         is_repeated = request.epoch == job.promised_epoch and sender == job.holder
         if request.epoch <= job.promised_epoch and not is_repeated:
             return self._reject_prepare(now, request, job, "a later epoch is promised")
@@ -207,14 +207,14 @@
         )
 
     def on_release(self, sender: ProcessId, notice: ReleaseNotice) -> None:
-        """The lease ends now."""
+        """End the lease at once, if the sender holds it under this epoch."""
         job = self.jobs.get(notice.job)
         if job is not None and job.is_promised_to(sender, notice.epoch):
             job.lease_expires_at = -math.inf
 
     def on_record_query(self, query: RecordQuery) -> Message:
         """Report the record that this voter holds."""
-        job = self.jobs.get(query.job) or VotedJob()
+        job = self.jobs.get(query.job) or VoterJob()
         return RecordReport(
             query.job, self.incarnation, self.incarnations(), job.record, job.committed_step
         )
@@ -222,13 +222,13 @@
     # Requests of voters that lost their state
 
     def on_incarnation_query(self, sender: ProcessId) -> Message | None:
-        """Tell another voter which incarnation of it is known here."""
+        """Report to another voter which incarnation of it this voter knows."""
         if sender.name not in self.other_voters:
             return None
         return IncarnationReply(self.known_incarnations[sender.name])
 
     def on_recovery_request(self, sender: ProcessId, request: RecoveryRequest) -> Message | None:
-        """Store the sender's new incarnation, and report the next job by name."""
+        """Store the sender's new incarnation, and report the state of the job that follows `after_job`."""
         if sender.name not in self.other_voters:
             return None
         known = self.known_incarnations[sender.name]
@@ -244,12 +244,15 @@
     # This voter's own recovery
 
     def on_incarnation_reply(self, now: float, sender: ProcessId, reply: IncarnationReply) -> None:
-        """Another voter's knowledge of this one's incarnation."""
+        """Handle another voter's report of the incarnation of this voter that it knows."""
         if self.recovery is not None:
             self.recovery.record_incarnation(now, sender.name, reply.incarnation)
 
     def on_recovery_reply(self, now: float, sender: ProcessId, reply: RecoveryReply) -> None:
-        """Another voter's state of one job; once a majority reported all, this voter votes a lease later."""
+        """Handle another voter's report of one job. Once a majority reported all jobs, the recovery is finished.
+
+        The voter then votes after the duration of a lease.
+        """
         recovery = self.recovery
         if recovery is None:
             return
@@ -263,11 +266,11 @@
             self.votes_from = now + self.settings.voter_lease_seconds
 
     def merge_state(self, state: VoterJobState) -> None:
-        """Take over another voter's newer promise and newer record.
+        """Adopt another voter's promise and record where they are newer.
 
-        The promise was not this voter's: it neither renews that lease nor accepts a record of it.
+        This voter did not make that promise itself, so it neither renews that lease nor accepts a record under it.
         """
-        job = self.jobs.setdefault(state.job, VotedJob())
+        job = self.jobs.setdefault(state.job, VoterJob())
         if state.promised_epoch > job.promised_epoch:
             job.promised_epoch = state.promised_epoch
             job.holder = NO_PROCESS
@@ -283,12 +286,12 @@
                 self.known_incarnations[voter] = max(incarnation, 1)
         for each in stored.jobs:
             holder = ProcessId(each.holder, each.holder_birth)
-            self.jobs[each.job] = VotedJob(each.promised_epoch, holder, each.record)
+            self.jobs[each.job] = VoterJob(each.promised_epoch, holder, each.record)
 
     def _reject_prepare(
-        self, now: float, request: PrepareRequest, job: VotedJob, reason: str
+        self, now: float, request: PrepareRequest, job: VoterJob, reason: str
     ) -> Rejection:
-        """A rejection that says when the voter's lease or its start has passed."""
+        """A rejection whose `retry_after_ms` covers the running lease and the wait after this voter's start."""
         wait = max(0.0, job.lease_expires_at - now, self.votes_from - now)
         return Rejection(
             request.job,
@@ -298,6 +301,6 @@
             reason[:MAX_REASON_CHARACTERS],
         )
 
-    def _reject(self, name: str, epoch: int, job: VotedJob | None, reason: str) -> Rejection:
-        """A rejection that need not be waited for."""
+    def _reject(self, name: str, epoch: int, job: VoterJob | None, reason: str) -> Rejection:
+        """A rejection whose `retry_after_ms` is 0, as there is no lease to wait for."""
         return Rejection(name, epoch, job.promised_epoch if job is not None else 0, 0, reason)
