--- a/bench/planted_defects/leases.py
+++ b/bench/planted_defects/leases.py
@@ -1,4 +1,4 @@
-"""Planted defects of leases."""
+"""Planted defects in the package `leases` and in the modules that its tests also cover."""
 
 from bench.planted_defects.defect import PlantedDefect
 
@@ -39,7 +39,7 @@
     ),
     PlantedDefect(
         path="stepknot/leases/recovery.py",
-        original="return len(self.finished_voters) > len(self.others) // 2",
+        original="return len(self.finished_voters) > len(self.other_voters) // 2",
         replacement="return bool(self.finished_voters)",
         tests=(
             "tests/leases/test_protocol.py::test_a_voter_that_lost_its_state_replies_to_nothing_until_a_majority_of_the_others_reported",
