--- a/bench/trace_packages/leases.py
+++ b/bench/trace_packages/leases.py
@@ -206,7 +206,7 @@
     for seed in seeds:
         rng = random.Random(seed)
         value = b""
-        for turn in range(60):
+        for step in range(60):
             live = {
                 f"10.0.0.{number}:1": rolling_drains.DrainNode(
                     "ab"[number % 2], number // 4, rng.random() < 0.9
@@ -218,7 +218,7 @@
                 if rng.random() < 0.25:
                     body = msgspec.json.encode(rng.choice(commands))
                     after = rolling_drains.apply_command(
-                        state, f"n{turn - rng.randrange(2)}", body, live
+                        state, f"n{step - rng.randrange(2)}", body, live
                     )
                     trace.add(rolling_drains.begins_drain(state, after))
                 else:
@@ -242,11 +242,11 @@
 
     rng, listed = random.Random(seed), DrainedEndpoints(forward)
     names = [f"n{number}" for number in range(8)]
-    for turn in range(200):
+    for step in range(200):
         if rng.random() < 0.4:
             listed.set_drained(rng.sample(names, rng.randrange(4)))
             continue
-        kind = ListKind.FULL if turn % 20 == 5 else ListKind.CHANGES
+        kind = ListKind.FULL if step % 20 == 5 else ListKind.CHANGES
         some = rng.sample(names, rng.randrange(1, 8))
         states = [rng.choice(list(ServerState)) for _ in some]
         listed.receive_list(
--- a/stepknot/leases/election.py
+++ b/stepknot/leases/election.py
@@ -10,8 +10,8 @@
 from stepknot.leases.messages import LedgerRecord, Promise, Rejection
 from stepknot.leases.settings import LeaseSettings
 
-BACKOFF_FRACTION = 0.25  # first pause after a failed election, as a fraction of the lease; each failure doubles it
-MAX_DOUBLINGS = 3
+BACKOFF_FRACTION = 0.25  # first pause after a failed election, as a fraction of the lease
+MAX_DOUBLINGS = 3  # each further failure doubles the pause, up to this number of times
 MIN_JITTER, MAX_JITTER = 0.2, 1.0  # bounds of the random factor of a pause
 
 
--- a/stepknot/leases/job.py
+++ b/stepknot/leases/job.py
@@ -80,7 +80,7 @@
         return now >= self.holder_missing_since + RANK_DELAY_FRACTION * lease_seconds * rank
 
     def is_query_due(self, now: float) -> bool:
-        """Whether to query the voters' records: at each renewal interval until the fence is ready, then seldom."""
+        """Whether to query the voters' records: at each renewal interval until the fence is ready, then less often."""
         query_interval = QUERY_INTERVAL_LEASES * self._settings.lease_seconds
         if self.fence.ready and now < self.queried_at + query_interval:
             return False
--- a/stepknot/leases/messages.py
+++ b/stepknot/leases/messages.py
@@ -119,7 +119,7 @@
 
 
 class HandoverOffer(msgspec.Struct, array_like=True, tag=9, frozen=True):
-    """The request of a lease holder that stopped, that the receiver become the next holder."""
+    """The offer of a lease holder that stopped: the receiver may become the next holder."""
 
     job: Name
     epoch: Epoch
@@ -151,7 +151,7 @@
 
 
 class IncarnationQuery(msgspec.Struct, array_like=True, tag=13, frozen=True):
-    """The question of a voter that lost its state, which incarnation of it the receiver knows."""
+    """A recovering voter's query for the newest of its incarnations that the receiver knows."""
 
 
 class IncarnationReply(msgspec.Struct, array_like=True, tag=14, frozen=True):
--- a/stepknot/leases/replication.py
+++ b/stepknot/leases/replication.py
@@ -29,7 +29,7 @@
     committed: LedgerRecord | None = None  # the newest record that is committed under this epoch
 
     def reset(self) -> None:
-        """Forget the records of the previous epoch because a new election begins."""
+        """Discard the records of the previous epoch because a new election begins."""
         self.step = 0
         self.pending = None
         self.committed = None
--- a/tests/leases/test_model.py
+++ b/tests/leases/test_model.py
@@ -1,4 +1,4 @@
-"""Leases in a simulated fleet: seeded random faults, clocks beyond the drift, and time without a holder after a fault."""
+"""Leases in a simulated fleet: random faults by seed, clocks beyond the drift, time without a holder after a fault."""
 
 from __future__ import annotations
 
--- a/tests/leases/test_voter_store.py
+++ b/tests/leases/test_voter_store.py
@@ -1,4 +1,4 @@
-"""The file of a voter's state: checksum, atomic saves, damaged states and states of other voters, fleets or versions."""
+"""The file of a voter's state: checksum, atomic saves, damaged states, and states of other voters, fleets, versions."""
 
 from __future__ import annotations
 
