--- a/tests/leases/test_settings.py
+++ b/tests/leases/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings block `ownership`; without it, no module of leases is imported."""
+"""The settings block `ownership`; without it, the modules that run leases are not imported."""
 
 from __future__ import annotations
 
