--- a/stepknot/membership/anti_entropy.py
+++ b/stepknot/membership/anti_entropy.py
@@ -1,7 +1,7 @@
-"""Anti-entropy: tables whose digests differ are compared by fingerprints, and what is missing is sent, both ways.
+"""Anti-entropy: compares tables whose digests differ by fingerprints, and sends the missing records both ways.
 
-Gossip may be lost, and parts of a fleet that were cut off from each other know nothing of each other. So this module
-also contacts dead members and absent seeds from time to time.
+Gossip may be lost, and parts of a fleet that were cut off from each other know nothing of each other. Therefore this
+module also contacts dead members and absent seeds from time to time.
 """
 
 from __future__ import annotations
@@ -16,12 +16,13 @@
 from stepknot.membership.outbox import Outbox
 from stepknot.membership.view import MembershipView
 
-COMPARE_PERIODS = 4  # between two comparisons: one takes as much as half a second's send rate
-RECONNECT_PERIODS = 5  # between two contacts with a dead member, or a seed that is absent
+# Periods between two comparisons, because one comparison may use half a second's send rate.
+COMPARE_PERIODS = 4
+RECONNECT_PERIODS = 5  # periods between two contacts with a dead member or an absent seed
 
 
 class AntiEntropy:
-    """Compares this member's table with a neighbour's."""
+    """Compares this member's table with the tables of its neighbours."""
 
     def __init__(
         self,
@@ -40,7 +41,7 @@
         self._next_bucket = 0
 
     def compare(self, now: float) -> None:
-        """Send one section of fingerprints to a neighbour whose view has differed for a period."""
+        """Send one section of fingerprints to a neighbour whose view has differed for at least one period."""
         if now < self._next_comparison:
             return
         differing = [
@@ -59,19 +60,20 @@
         self._outbox.send(now, address, wire.AntiEntropyRequest(first, last, fingerprints))
 
     def on_request(self, now: float, sender: Record, request: wire.AntiEntropyRequest) -> None:
-        """Send the records that the sender lacks, and ask for those that are unknown here."""
+        """Send the records that the sender lacks, and request the records that are unknown here."""
         difference = self._view.table.compare(request.first, request.last, request.fingerprints)
         missing = difference.missing_there
-        self._rng.shuffle(missing)  # what the budget cuts off is other records each time
+        # Shuffled, so that a small send budget does not cut off the same records each time.
+        self._rng.shuffle(missing)
         borrow = self._outbox.repair_borrow
         self._dissemination.send_records(now, sender.address, missing, borrow)
         if difference.missing_here:
             wanted = b"".join(difference.missing_here[: wire.MAX_UPDATES])
-            wanted_request = wire.RecordRequest(fingerprints=wanted)
-            self._outbox.send(now, sender.address, wanted_request, borrow)
+            record_request = wire.RecordRequest(fingerprints=wanted)
+            self._outbox.send(now, sender.address, record_request, borrow)
 
     def on_record_request(self, now: float, sender: Record, request: wire.RecordRequest) -> None:
-        """Send the records that the sender asks for by identity or fingerprint."""
+        """Send the records that the sender requests by identity or by fingerprint."""
         table = self._view.table
         names = dict.fromkeys(table.identities.get(each, "") for each in request.identities)
         by_identity = [table.records[name] for name in names if name]
@@ -85,7 +87,7 @@
 
 
 class Reconnection:
-    """Contacts a dead member or an absent seed now and then, so that two halves of a cut find each other."""
+    """Contacts dead members and absent seeds from time to time, so that two sides of a healed partition merge."""
 
     def __init__(
         self,
@@ -105,7 +107,7 @@
         self._next_contact = -math.inf
 
     def contact_absent(self, now: float) -> None:
-        """Ping one of the dead, and send a join request to a seed that is not present, where that is due."""
+        """Ping one dead member, and send a join request to one seed that is not present, if a contact is due."""
         if now < self._next_contact:
             return
         self._next_contact = now + RECONNECT_PERIODS * self._period * self._rng.uniform(0.75, 1.25)
--- a/stepknot/membership/counters.py
+++ b/stepknot/membership/counters.py
@@ -1,18 +1,18 @@
-"""Names of the counters of membership, as they are in metrics' labels and in operators' views."""
+"""Names of membership's counters, as they appear in the labels of metrics and in the operators' views."""
 
 from __future__ import annotations
 
 BYTES = "bytes"
 DATAGRAMS = "datagrams"
-KEPT_BACK = "kept back"  # by the send budget
-STOOD_STILL = "stood still"
+OVER_SEND_BUDGET = "kept back"  # datagrams that were not sent because of their size or the budget
+PAUSED = "stood still"  # pauses of this process
 ISOLATED = "isolated"
 REFUTED = "proved itself"
-MET_OLDER_PROCESS = "met an older namesake"
-STEPPED_ASIDE = "stepped aside"
+NAME_CONFLICT_WON = "met an older namesake"
+NAME_CONFLICT_LOST = "stepped aside"
 DROPPED_EARLIER_PROCESS = "dropped: an earlier process"
 
 
 def dropped(reason: object) -> str:
-    """The counter of datagrams that were dropped for this reason."""
+    """Name of the counter of datagrams that were dropped for this reason."""
     return f"dropped: {reason}"
--- a/stepknot/membership/dissemination.py
+++ b/stepknot/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination of records by gossip: rounds to random members, and what comes in by others' rounds."""
+"""Dissemination of records by gossip: sends updates in rounds to random members, and merges received updates."""
 
 from __future__ import annotations
 
@@ -14,8 +14,9 @@
 from stepknot.membership.refutation import Refutation
 from stepknot.membership.view import MembershipView
 
-ROUND_INTERVAL = 0.05  # seconds between two rounds at least: updates of a storm go out together
-LEAVE_ROUNDS = 3  # for a leave announcement
+# Minimum seconds between two rounds, so that many updates at once are sent together.
+MIN_ROUND_INTERVAL = 0.05
+LEAVE_ROUNDS = 3  # rounds in which a leave is announced
 
 
 class Dissemination:
@@ -38,9 +39,9 @@
         self._rng = rng
         self._last_round = -math.inf
 
-    # --- out
+    # --- sending
 
-    def spread(self, now: float) -> None:
+    def send_round(self, now: float) -> None:
         """Send one round of the queued updates to some random members."""
         queue, records = self._view.gossip, self._view.table.records
         if not queue.rounds_left:
@@ -56,31 +57,31 @@
             self._outbox.send(now, member.address, gossip)
             for member in self._rng.sample(others, fanout)
         ]
-        # A round that the budget held back wholly is sent again; a part of one is not.
+        # A round is repeated only if the send budget rejected all of its datagrams.
         if any(sent) or not sent:
             queue.mark_sent([*forgotten, *names[:count]])
 
-    def spread_if_due(self, now: float) -> None:
-        """Send a round, unless the last one was just now."""
-        if self._view.gossip.rounds_left and now >= self._last_round + ROUND_INTERVAL:
-            self.spread(now)
+    def send_round_if_due(self, now: float) -> None:
+        """Send a round, unless the last one was sent less than `MIN_ROUND_INTERVAL` ago."""
+        if self._view.gossip.rounds_left and now >= self._last_round + MIN_ROUND_INTERVAL:
+            self.send_round(now)
 
     def announce_leave(self, now: float) -> None:
-        """Set the own state to left and spread nothing but that."""
-        self._refutation.set_state(now, State.LEFT, "told to stop")
+        """Set the own state to left and send no other update from now on."""
+        self._refutation.set_state(now, State.LEFT, "this process is shutting down")
         self._view.gossip.replace_all(self._own.name, LEAVE_ROUNDS)
-        self.spread(now)
+        self.send_round(now)
 
     def send_records(
         self, now: float, address: Address, records: list[Record], borrow: float = 0.0
     ) -> None:
-        """Send updates in as many datagrams as that takes, as far as the budget allows."""
+        """Send the records, in short form where possible, in as many datagrams as needed and the budget allows."""
         self._send_all(now, address, records, borrow, full=False)
 
     def send_full_records(
         self, now: float, address: Address, records: list[Record], borrow: float = 0.0
     ) -> None:
-        """The same with full records only."""
+        """Send the records in full, in as many datagrams as needed and the budget allows."""
         self._send_all(now, address, records, borrow, full=True)
 
     def _send_all(
@@ -95,16 +96,19 @@
     def pack(
         self, now: float, records: list[Record], full: bool = False
     ) -> tuple[wire.Gossip, int]:
-        """As many records as fit in one datagram, and how many these are.
+        """Pack as many of the records as fit in one datagram.
 
-        Most members know a process that is known here for a while. Then only what changed is sent, and a member that
-        does not know the process asks for its full record.
+        Most members know a process that has been known here for a while. For such a process only a short update is
+        sent, and a member that does not know the process requests its full record.
+
+        Returns:
+            The message, and the number of records in it.
         """
-        gossip, room = wire.Gossip([], []), wire.MAX_UPDATE_BYTES
+        gossip, bytes_left = wire.Gossip([], []), wire.MAX_UPDATE_BYTES
         for count, record in enumerate(records):
             update = record if full else self._update_of(now, record)
-            room -= wire.max_encoded_bytes(update)
-            if room < 0 or count == wire.MAX_UPDATES:
+            bytes_left -= wire.max_encoded_bytes(update)
+            if bytes_left < 0 or count == wire.MAX_UPDATES:
                 return gossip, count
             if isinstance(update, Record):
                 gossip.records.append(update)
@@ -118,17 +122,17 @@
             return record
         return wire.ShortUpdate(identity, record.incarnation, record.state)
 
-    # --- in
+    # --- receiving
 
     def on_gossip(self, now: float, sender: Record, gossip: wire.Gossip) -> bool:
-        """Merge updates.
+        """Merge received updates.
 
         Returns:
-            Whether all were merged: not where this member stepped aside for one of them.
+            Whether all updates were handled: false if one of them made this member lose its name.
         """
         for record in gossip.records:
             if record.name != self._own.name:
-                self._view.merge(now, record, f"{sender.name} says so")
+                self._view.merge(now, record, f"gossip from {sender.name}")
                 continue
             self._refutation.on_own_name(now, record)
             if self._own.stepped_aside:
@@ -152,6 +156,6 @@
             if name == self._own.name:
                 self._refutation.refute(now, record)
             else:
-                self._view.merge(now, record, f"{sender.name} says so")
+                self._view.merge(now, record, f"gossip from {sender.name}")
         if unknown:
             self._outbox.send(now, sender.address, wire.RecordRequest(unknown))
--- a/stepknot/membership/errors.py
+++ b/stepknot/membership/errors.py
@@ -1,4 +1,4 @@
-"""Exceptions of membership."""
+"""Exceptions of the membership package."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class DatagramError(StepknotError):
-    """A datagram cannot be used. Its text is the reason that dropped datagrams are counted under."""
+    """A datagram cannot be used. The message is the reason under which the dropped datagram is counted."""
--- a/stepknot/membership/heartbeats.py
+++ b/stepknot/membership/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats between observers and subjects, in both directions of each edge."""
+"""Heartbeats between observers and subjects, sent in both directions of each edge."""
 
 from __future__ import annotations
 
@@ -6,18 +6,19 @@
 
 from stepknot.membership import wire
 from stepknot.membership.isolation import Isolation
-from stepknot.membership.model import DOUBTED_STATES, MembershipSettings, Record
+from stepknot.membership.model import REFUTABLE_STATES, MembershipSettings, Record
 from stepknot.membership.outbox import Outbox
 from stepknot.membership.refutation import Refutation
 from stepknot.membership.send_budget import ANSWER_BORROW, HEARTBEAT_BORROW
 from stepknot.membership.subject import Subject
 from stepknot.membership.view import MembershipView
 
-SUSPECT_PERIODS = 4  # between two heartbeats to a suspect; its own ones are answered at once
+# Periods between two heartbeats to a suspect. Heartbeats from a suspect are answered at once.
+SUSPECT_PERIODS = 4
 
 
 class Heartbeats:
-    """Sends heartbeats, and takes in what received ones say of this member and of the sender's view."""
+    """Sends heartbeats, and evaluates received ones: what they report about this member, and the sender's digest."""
 
     def __init__(
         self,
@@ -32,12 +33,11 @@
         self._outbox = outbox
         self._isolation = isolation
         self._refutation = refutation
-        self.views_agreed_at = (
-            -math.inf
-        )  # a subject's view had the digest of this one, the last time
+        # When a subject last reported the same digest as this member's view.
+        self.views_agreed_at = -math.inf
 
     def send_due(self, now: float) -> None:
-        """Send a heartbeat to each subject whose time has come."""
+        """Send a heartbeat to each subject for which one is due."""
         period = self._settings.period
         for name, subject in self._view.subjects.items():
             if now >= subject.next_heartbeat:
@@ -46,7 +46,7 @@
                 subject.next_heartbeat = max(subject.next_heartbeat + periods * period, now)
 
     def ping(self, now: float, name: str) -> None:
-        """Send a heartbeat that is to be answered at once."""
+        """Send a heartbeat that requests an immediate answer."""
         self.send(now, name, reply_requested=True)
 
     def send(
@@ -55,30 +55,30 @@
         """Send a heartbeat to a member of the table."""
         table = self._view.table
         record = table.records[name]
-        is_doubted = record.state in DOUBTED_STATES
+        is_refutable = record.state in REFUTABLE_STATES
         heartbeat = wire.Heartbeat(
-            _milliseconds_since(now, self._view.subjects.get(name)),
+            _milliseconds_since_received(now, self._view.subjects.get(name)),
             table.digest,
-            record.incarnation if is_doubted else -1,
+            record.incarnation if is_refutable else -1,
             reply_requested,
             self._isolation.is_isolated,
         )
         self._outbox.send(now, record.address, heartbeat, borrow)
 
     def on_heartbeat(self, now: float, sender: Record, heartbeat: wire.Heartbeat) -> None:
-        """Refute a suspicion, take in the sender's observation and digest, and answer where that is due."""
+        """Refute a reported suspicion, store the sender's observation and digest, and answer if required."""
         subject = self._view.subjects.get(sender.name)
         if heartbeat.suspected_incarnation >= 0:
             self._refutation.refute_suspicion(now, heartbeat.suspected_incarnation)
         if subject is not None:
-            self._note_edge(now, subject, heartbeat)
-        if heartbeat.reply_requested or self._owes_an_answer(now, sender, subject):
+            self._update_subject(now, subject, heartbeat)
+        if heartbeat.reply_requested or self._must_answer(now, sender, subject):
             self.send(now, sender.name)
             if subject is not None:
                 subject.next_heartbeat = now + self._settings.period
 
-    def _note_edge(self, now: float, subject: Subject, heartbeat: wire.Heartbeat) -> None:
-        """What a subject says of this member, and whether its view is the same."""
+    def _update_subject(self, now: float, subject: Subject, heartbeat: wire.Heartbeat) -> None:
+        """Store when the subject last received this member, and whether its view agrees with this one."""
         if heartbeat.last_received >= 0:
             received_at = now - heartbeat.last_received / 1000
             subject.last_received_by_it = max(subject.last_received_by_it, received_at)
@@ -88,14 +88,14 @@
         else:
             subject.differs_since = min(subject.differs_since, now)
 
-    def _owes_an_answer(self, now: float, sender: Record, subject: Subject | None) -> bool:
-        """A member that is held suspect or dead here learns that, so that it can refute it."""
-        is_doubted = self._view.table.records[sender.name].state in DOUBTED_STATES
-        return is_doubted and (subject is None or now >= subject.next_heartbeat)
+    def _must_answer(self, now: float, sender: Record, subject: Subject | None) -> bool:
+        """Whether to inform the sender that it is suspect or dead in this view, so that it can refute that."""
+        is_refutable = self._view.table.records[sender.name].state in REFUTABLE_STATES
+        return is_refutable and (subject is None or now >= subject.next_heartbeat)
 
 
-def _milliseconds_since(now: float, subject: Subject | None) -> int:
-    """Since something was received from the subject; -1: never."""
+def _milliseconds_since_received(now: float, subject: Subject | None) -> int:
+    """Milliseconds since something was received from the subject; -1 if nothing was received yet."""
     if subject is None or subject.last_received == -math.inf:
         return wire.NEVER
     return min(int((now - subject.last_received) * 1000), wire.MAX_MILLISECONDS - 1)
--- a/stepknot/membership/helper_selection.py
+++ b/stepknot/membership/helper_selection.py
@@ -1,4 +1,4 @@
-"""Which members are asked for indirect probes of unresponsive subjects (SWIM's ping-req). Chance is handed in."""
+"""Selection of the helpers that are asked for indirect probes of unresponsive subjects (SWIM's ping-req)."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class HelperSelection:
-    """Selects helpers by rings, by recent contact, and in turn."""
+    """Selects helpers by earlier reports, by rings, by recent contact, and by rotation.
+
+    The random generator is passed in.
+    """
 
     def __init__(
         self, settings: MembershipSettings, view: MembershipView, rng: random.Random
@@ -22,10 +25,11 @@
         self._rng = rng
 
     def helpers_for(self, names: list[str], others: list[str]) -> list[str]:
-        """Helpers for these unresponsive subjects, twice `probe_helpers` at most.
+        """Select at most `2 * probe_helpers` helpers for these unresponsive subjects.
 
-        In this order: members that reported a sign of life last, some observers of the subjects, some members that are
-        received here and so can answer, and the rest in turn.
+        The order of preference is: the members that last reported a sign of life of a subject, some observers of the
+        subjects, some members whose datagrams arrive here, so that their answers can arrive too, and then all others
+        by rotation.
 
         Args:
             names: The unresponsive subjects.
@@ -38,30 +42,32 @@
         helpers = dict.fromkeys(name for name in others if name in reporters)
         helpers |= dict.fromkeys(self._observers_of(names, others)[: count // 2])
         helpers |= dict.fromkeys(self._rng.sample(responsive, min(len(responsive), count // 2)))
-        helpers |= dict.fromkeys(self._in_turn(names, others, subjects)[:count])
+        helpers |= dict.fromkeys(self._by_rotation(names, others, subjects)[:count])
         return list(helpers)[: 2 * count]
 
     def _observers_of(self, names: list[str], others: list[str]) -> list[str]:
-        """Some observers of the subjects: if any member has a younger sign of life, they have."""
-        able = set(others)
-        found = []
+        """Some observers of the subjects, which are the most likely members to have a later sign of life."""
+        allowed = set(others)
+        selected = []
         for name in names:
             observers = self._view.rings.neighbours_of(name, self._view.is_suspect).nearest
-            free = [each for each in observers if each in able]
-            found += self._rng.sample(free, min(len(free), self._settings.probe_helpers // 2))
-        return found
+            candidates = [each for each in observers if each in allowed]
+            selected += self._rng.sample(
+                candidates, min(len(candidates), self._settings.probe_helpers // 2)
+            )
+        return selected
 
-    def _in_turn(
+    def _by_rotation(
         self, names: list[str], others: list[str], subjects: Mapping[str, Subject]
     ) -> list[str]:
-        """All others in random order, those first that never answered about the subjects, or longest ago.
+        """All other members, sorted by when they last answered about the subjects: never first, and ties at random.
 
-        So whichever member has a way to them is found within few rounds.
+        A member that can still reach a subject is therefore asked within a few rounds.
         """
         answered_at: dict[str, float] = {}
         for name in names:
             for other, at in subjects[name].confirmations.items():
                 answered_at[other] = max(answered_at.get(other, -math.inf), at)
-        found = self._rng.sample(others, len(others))
-        found.sort(key=lambda other: answered_at.get(other, -math.inf))
-        return found
+        rotation = self._rng.sample(others, len(others))
+        rotation.sort(key=lambda other: answered_at.get(other, -math.inf))
+        return rotation
--- a/stepknot/membership/indirect_probes.py
+++ b/stepknot/membership/indirect_probes.py
@@ -1,4 +1,4 @@
-"""Indirect probes: asking helpers about unresponsive subjects, and probing on behalf of other members."""
+"""Indirect probes: asks helpers about unresponsive subjects, and probes members on behalf of other observers."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from stepknot.membership.send_budget import ANSWER_BORROW
 from stepknot.membership.view import MembershipView
 
-MAX_AGE = 2**20  # seconds: an observation that is older counts as none
+MAX_AGE = 2**20  # seconds; an older observation is reported as never received
 
 
 class IndirectProbes:
-    """Both sides of an indirect probe: the observer that asks, and the helper that answers."""
+    """Implements both sides of an indirect probe: the observer that asks, and the helper that answers."""
 
     def __init__(
         self,
@@ -37,20 +37,20 @@
         self._helpers = HelperSelection(settings, view, rng)
         self._next_request = -math.inf
 
-    # --- the observer
+    # --- observer side
 
     def request(self, now: float, unresponsive: list[str], others: list[str]) -> None:
         """Ping unresponsive subjects, and ask helpers about them.
 
         Args:
             now: Seconds.
-            unresponsive: Subjects without a sign of life for a while.
-            others: Members that may be asked.
+            unresponsive: Names of the subjects that have been without a sign of life for a while.
+            others: Names of the members that may be asked.
         """
         due = [name for name in unresponsive if self._is_due(now, name)]
         if not due or now < self._next_request:
             return
-        # Subjects that come due meanwhile go in one request.
+        # Subjects that become due within the next period are sent in one request.
         self._next_request = now + self._settings.period
         subjects = self._view.subjects
         due.sort(key=lambda name: subjects[name].next_probe)
@@ -65,7 +65,7 @@
             self._outbox.send(now, address, request, self._outbox.probe_request_borrow)
 
     def on_answer(self, now: float, sender: Record, answer: wire.IndirectProbeAnswer) -> None:
-        """Take a helper's observations of subjects."""
+        """Store a helper's observations of subjects."""
         for observation in answer.observations:
             record = self._view.table.records.get(observation.name)
             subject = self._view.subjects.get(observation.name)
@@ -76,20 +76,20 @@
             if self._is_fresh(observation):
                 subject.last_reporter = sender.name
             if observation.last_received >= 0:
-                seen_at = now - observation.last_received / 1000
-                subject.note_sign(seen_at, f"{sender.name} heard it")
+                received_at = now - observation.last_received / 1000
+                subject.record_sign_of_life(received_at, f"received by {sender.name}")
             subject.confirmations[sender.name] = now
 
     def _is_due(self, now: float, name: str) -> bool:
-        """From inside a cut nothing more can be found out about suspects."""
+        """Whether to probe this subject now. An isolated member can learn nothing more about suspects."""
         if now < self._view.subjects[name].next_probe:
             return False
         return not (self._isolation.is_isolated and self._view.is_suspect(name))
 
-    # --- the helper
+    # --- helper side
 
     def on_request(self, now: float, sender: Record, request: wire.IndirectProbeRequest) -> None:
-        """Answer at once about members that sent something lately, and probe the other ones first."""
+        """Answer at once about the members that sent something within the last period, and probe the others first."""
         records = self._view.table.records
         known = [name for name in request.names if name in records and name != self._view.own_name]
         observations = [self._observe(now, name) for name in known]
@@ -98,24 +98,24 @@
         for each in observations:
             if each in fresh:
                 continue
-            # Its silence means something only where it was probed.
+            # Without a probe, a member that sent nothing here is no evidence of a failure.
             if self._view.probe_requests.add(now, sender.name, each.name):
                 self._heartbeats.ping(now, each.name)
 
     def on_contact(self, now: float, sender: Record) -> None:
-        """Something came from this member: answer those that asked about it."""
+        """Answer the members that asked about the sender of a received datagram."""
         for requester in self._view.probe_requests.take_answered(sender.name):
             self._answer(now, requester, [wire.Observation(sender.name, *sender.process, 0)])
 
     def report_unanswered(self, now: float) -> None:
-        """Answer about the members that were probed for others and did not answer in time."""
+        """Answer the requests about members that did not answer their probe in time."""
         for requester, names in self._view.probe_requests.take_expired(now).items():
             known = [name for name in names if name in self._view.table.records]
             observations = [self._observe(now, name) for name in known[: wire.MAX_PROBED]]
             self._answer(now, requester, observations, borrow=0.0)
 
     def _observe(self, now: float, name: str) -> wire.Observation:
-        """When something was last received from a member of the table."""
+        """Observe when something was last received from a member of the table."""
         record, subject = self._view.table.records[name], self._view.subjects.get(name)
         age = now - subject.last_received if subject is not None else math.inf
         milliseconds = int(age * 1000) if age < MAX_AGE else wire.NEVER
--- a/stepknot/membership/isolation.py
+++ b/stepknot/membership/isolation.py
@@ -1,4 +1,4 @@
-"""Whether this member is cut off from most others (invariant 3): since when, and why."""
+"""Detection that this member is cut off from most other members (invariant 3)."""
 
 from __future__ import annotations
 
@@ -6,14 +6,17 @@
 from collections import Counter
 
 from stepknot.membership import counters
-from stepknot.membership.correlated_failures import why_isolated
+from stepknot.membership.correlated_failures import find_isolation_reason
 from stepknot.membership.model import MembershipSettings
 from stepknot.membership.own_member import OwnMember
 from stepknot.membership.view import MembershipView
 
 
 class Isolation:
-    """`since` is infinite and `reason` empty while this member is not isolated."""
+    """Decides whether this member is isolated, and keeps since when and why.
+
+    `since` is infinite and `reason` is empty while this member is not isolated.
+    """
 
     def __init__(
         self,
@@ -31,11 +34,11 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Whether this member takes itself for isolated."""
+        """Whether this member regards itself as isolated."""
         return self.since < math.inf
 
     def update(self, now: float) -> None:
-        """Look at the neighbours and the states of all members."""
+        """Begin or end the isolation according to the neighbours and the states of all members."""
         reason = self._find_reason(now)
         if not reason:
             self._end(now)
@@ -44,21 +47,23 @@
             self._counts[counters.ISOLATED] += 1
 
     def begin(self, now: float, reason: str) -> None:
-        """This member takes itself for isolated from now on."""
+        """Regard this member as isolated from now on."""
         self.since, self.reason = now, reason
 
     def shift(self, gap: float) -> None:
-        """Move the time by the seconds in which this member stood still."""
+        """Take the length of a process pause out of the time since the isolation began."""
         self.since += gap
 
     def _end(self, now: float) -> None:
         if self.is_isolated:
-            # The subjects that were silent meanwhile get the full time again.
+            # Subjects that were unresponsive during the isolation get the full time-out again.
             for subject in self._view.subjects.values():
                 subject.observed_since = now
         self.since, self.reason = math.inf, ""
 
     def _find_reason(self, now: float) -> str:
         if not self._own.has_joined:
-            return "no seed has let it in"
-        return why_isolated(self._view.table, self._view.subjects.values(), self._settings, now)
+            return "no seed has answered the join request"
+        return find_isolation_reason(
+            self._view.table, self._view.subjects.values(), self._settings, now
+        )
--- a/stepknot/membership/join.py
+++ b/stepknot/membership/join.py
@@ -1,4 +1,4 @@
-"""Joining by seeds: join requests with a growing pause between them, and the answers to other members' requests."""
+"""Joining the fleet through seeds: join requests with a growing delay, and the answers to other members' requests."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from stepknot.membership.send_budget import ANSWER_BORROW
 from stepknot.membership.view import MembershipView
 
-MAX_JOIN_PAUSE = 2.0  # seconds between two rounds of join requests
+MAX_JOIN_DELAY = 2.0  # seconds between two rounds of join requests
 
 
 class Join:
-    """Asks seeds until one of them has admitted this member."""
+    """Sends join requests to seeds until this member is admitted."""
 
     def __init__(
         self,
@@ -37,24 +37,24 @@
             each for each in settings.seeds if each != own.record.address
         )
         self._next_request = -math.inf
-        self._pause = settings.period / 2  # seconds, doubled with each round
+        self._delay = settings.period / 2  # seconds, doubled with each round
 
     def request(self, now: float) -> None:
-        """Ask some seeds to be admitted, where that is due. Without any seed this is the first member."""
+        """Send join requests to some seeds, if they are due. Without a seed, this is the fleet's first member."""
         if self._own.has_joined or now < self._next_request:
             return
         if not self.seeds:
-            self._complete(now, "there is no seed to ask")
+            self._complete(now, "no seed other than this member is configured")
             return
         for address in self._rng.sample(self.seeds, min(len(self.seeds), self._fanout)):
             self._outbox.send(now, address, wire.JoinRequest(), ANSWER_BORROW)
-        self._next_request = now + self._pause * self._rng.uniform(0.5, 1.0)
-        self._pause = min(2 * self._pause, MAX_JOIN_PAUSE)
+        self._next_request = now + self._delay * self._rng.uniform(0.5, 1.0)
+        self._delay = min(2 * self._delay, MAX_JOIN_DELAY)
 
     def on_admitted(self, now: float) -> None:
-        """Gossip came: some member knows this one."""
+        """Complete the join: received gossip proves that some member knows this one."""
         if not self._own.has_joined and self._own.record.state is State.JOINING:
-            self._complete(now, "let in")
+            self._complete(now, "admitted by the fleet")
 
     def _complete(self, now: float, reason: str) -> None:
         self._own.has_joined = True
@@ -77,9 +77,9 @@
         self._rng = rng
 
     def answer(self, now: float, sender: Record) -> None:
-        """Answer with the record of the sender's name first, and with as many other ones as fit in one datagram.
+        """Answer with the record of the sender's name first, followed by some other records up to a fixed number.
 
-        Anti-entropy brings the rest.
+        Anti-entropy sends the remaining records.
         """
         others = self._view.others_present(sender.name)
         some = self._rng.sample(others, min(len(others), wire.MAX_FULL_RECORDS - 2))
--- a/stepknot/membership/local_health.py
+++ b/stepknot/membership/local_health.py
@@ -1,4 +1,4 @@
-"""Whether this process itself stood still (invariant 4): Lifeguard's local health, by gaps between events."""
+"""Lifeguard's local health: detects pauses of this process (invariant 4) by the gaps between its events."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from stepknot.membership.model import MembershipSettings
 from stepknot.membership.view import MembershipView
 
-STALL_PERIODS = 2.0  # without an event, after which this process stood still
+PAUSE_PERIODS = 2.0  # a longer gap between two events, in periods, is a pause of this process
 
 
 class LocalHealth:
-    """Times of this process's own events."""
+    """Detects pauses of this process, and takes their length out of the times kept for other members."""
 
     def __init__(
         self,
@@ -27,28 +27,28 @@
         self._view = view
         self._isolation = isolation
         self._counts = counts
-        self.started_at = math.inf  # the first event
+        self.started_at = math.inf  # time of the first event
         self.last_event_at = -math.inf
         self.recovering_until = -math.inf
-        self.last_stall = 0.0  # seconds
+        self.last_stall = 0.0  # length of the last pause in seconds
 
     def on_event(self, now: float) -> None:
-        """A tick or a datagram: find out whether this process stood still since the last one."""
+        """Check at a tick or a datagram whether this process was paused since the previous one."""
         self.started_at = min(self.started_at, now)
         gap = now - self.last_event_at
         self.last_event_at = now
-        if STALL_PERIODS * self._settings.period < gap < math.inf:
-            self._on_stall(now, gap)
+        if PAUSE_PERIODS * self._settings.period < gap < math.inf:
+            self._on_pause(now, gap)
 
-    def is_awake(self, now: float) -> bool:
-        """Whether this process did not stand still lately, so that it may judge others."""
+    def is_healthy(self, now: float) -> bool:
+        """Whether this process was not paused recently, so that it may declare others suspect or dead."""
         return now >= self.recovering_until
 
-    def _on_stall(self, now: float, gap: float) -> None:
+    def _on_pause(self, now: float, gap: float) -> None:
         self.last_stall = gap
-        self._counts[counters.STOOD_STILL] += 1
+        self._counts[counters.PAUSED] += 1
         self.recovering_until = now + self._settings.suspect_after
         for subject in self._view.subjects.values():
             subject.shift(gap)
-            subject.next_heartbeat = now  # the observers of this member learn of it at once
+            subject.next_heartbeat = now  # so that this member's observers know at once that it runs
         self._isolation.shift(gap)
--- a/stepknot/membership/member_count.py
+++ b/stepknot/membership/member_count.py
@@ -1,4 +1,4 @@
-"""How many brokers there are, as bounds that hold also for a member that is new or isolated (invariant 6)."""
+"""Bounds of the number of brokers, which also hold for a member that is new or isolated (invariant 6)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MemberCounter:
-    """Derives the count from the view and from what this member knows of itself."""
+    """Derives the bounds from the view and from this member's own state."""
 
     def __init__(
         self,
@@ -30,20 +30,20 @@
         self._heartbeats = heartbeats
 
     def count(self, now: float) -> MemberCount:
-        """The bounds now."""
+        """The bounds of the number of brokers at this time."""
         is_certain = self._is_certain(now)
         upper_bound = self._upper_bound(now, is_certain)
         return MemberCount(min(self._lower_bound(now), upper_bound), upper_bound, is_certain)
 
     def _is_new(self, now: float) -> bool:
-        """Whether it had no time yet to observe what it was told of others."""
+        """Whether this member started too recently to have verified by observation what others reported."""
         return now < self._health.started_at + self._settings.dead_after
 
     def _is_certain(self, now: float) -> bool:
         return (
             self._own.has_joined
             and not (self._is_new(now) or self._isolation.is_isolated or self._own.stepped_aside)
-            and self._health.is_awake(now)
+            and self._health.is_healthy(now)
             and self._agrees_with_neighbours(now)
         )
 
@@ -52,7 +52,7 @@
         return not self._view.neighbours or agreed_for <= self._settings.dead_after
 
     def _lower_bound(self, now: float) -> int:
-        if self._is_new(now) or self._isolation.is_isolated or not self._health.is_awake(now):
+        if self._is_new(now) or self._isolation.is_isolated or not self._health.is_healthy(now):
             return 1 + sum(
                 now - each.last_received <= self._settings.suspect_after
                 for each in self._view.subjects.values()
@@ -66,6 +66,6 @@
             return UNBOUNDED
         not_left = sum(counts) - counts[State.LEFT]
         if not is_certain or now < self._health.started_at + settings.tombstone:
-            # A new member was not told of members that died before it came, and that may live on.
+            # A new member does not learn of members that were declared dead before it joined and may still run.
             return max(not_left, settings.configured)
         return not_left
--- a/stepknot/membership/outbox.py
+++ b/stepknot/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Datagrams to be sent: written with the own record as sender, and held to the send budget."""
+"""The queue of datagrams to be sent. It encodes them with the own record as sender and enforces the send budget."""
 
 from __future__ import annotations
 
@@ -9,36 +9,45 @@
 from stepknot.membership.own_member import OwnMember
 from stepknot.membership.send_budget import SendBudget
 
-# Datagrams' worth of budget that a probe request leaves. A repair by anti-entropy leaves one and is one, so this is
-# more. Repairs end a storm; where probe requests came first, a fleet that lost a third at once went on asking for good.
+# Send budget, in datagrams, that a probe request must leave unused. A repair by anti-entropy takes one datagram and must
+# leave one, so this reserve is larger. Repairs end an update storm: when probe requests were sent first, a fleet that
+# lost a third of its members at once never stopped sending probe requests.
 PROBE_REQUEST_RESERVE = 3
-MAX_RESERVE = 0.5  # of a small burst
+MAX_RESERVE_SHARE = 0.5  # largest share of the burst that the reserve may take if the burst is small
 
 
 class Outbox:
-    """Datagrams since the last `take`."""
+    """Collects the datagrams since the last `take`."""
 
     def __init__(self, settings: MembershipSettings, own: OwnMember, counts: Counter[str]) -> None:
         self._fleet = settings.fleet
         self._own = own
         self._counts = counts
         self.budget = SendBudget(settings.rate, settings.burst)
-        # Shares of the burst, negative: what must be left. What can wait leaves one datagram.
+        # Negative shares of the burst, which must be left unused. Repairs can wait, so they leave one datagram.
         self.repair_borrow = -wire.MAX_DATAGRAM_BYTES / settings.burst
-        self.probe_request_borrow = max(PROBE_REQUEST_RESERVE * self.repair_borrow, -MAX_RESERVE)
+        self.probe_request_borrow = max(
+            PROBE_REQUEST_RESERVE * self.repair_borrow, -MAX_RESERVE_SHARE
+        )
         self._datagrams: list[tuple[Address, bytes]] = []
 
     def send(
         self, now: float, address: Address, message: wire.Message, borrow: float = 0.0
     ) -> bool:
-        """Send one datagram, where the budget and the share of the burst that may be borrowed allow it.
+        """Queue one datagram, if its size and the send budget allow it.
+
+        Args:
+            now: Seconds.
+            address: Host and port of the recipient.
+            message: Content of the datagram.
+            borrow: The share of the burst that may be borrowed, as for `SendBudget.grant`.
 
         Returns:
-            Whether it is sent.
+            Whether the datagram is sent.
         """
         data = wire.encode(self._fleet, self._own.record, message)
         if len(data) > wire.MAX_DATAGRAM_BYTES or not self.budget.grant(now, len(data), borrow):
-            self._counts[counters.KEPT_BACK] += 1
+            self._counts[counters.OVER_SEND_BUDGET] += 1
             return False
         self._counts[counters.BYTES] += len(data)
         self._counts[counters.DATAGRAMS] += 1
@@ -46,6 +55,6 @@
         return True
 
     def take(self) -> list[tuple[Address, bytes]]:
-        """Datagrams to be sent since the last call."""
+        """Return the datagrams queued since the last call, and empty the queue."""
         datagrams, self._datagrams = self._datagrams, []
         return datagrams
--- a/stepknot/membership/own_member.py
+++ b/stepknot/membership/own_member.py
@@ -1,4 +1,4 @@
-"""This process as a member: its own record, whether it has joined, and whether it has stepped aside."""
+"""The state of this process as a member: its own record, whether it has joined, and whether it lost its name."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 
 @dataclass(slots=True)
 class OwnMember:
-    """Changed by `refutation.Refutation` and `join.Join` only."""
+    """Holds this process's own state, which only `refutation.Refutation` and `join.Join` change."""
 
     record: Record
     has_joined: bool = False
-    stepped_aside: bool = False  # a newer process has this name; this one takes no part any more
+    # The process lost its name, usually to a newer process, and takes no further part in the protocol.
+    stepped_aside: bool = False
 
     @property
     def name(self) -> str:
@@ -22,5 +23,5 @@
 
     @property
     def has_left(self) -> bool:
-        """Whether it announced its leave."""
+        """Whether this member has announced its leave."""
         return self.record.state is State.LEFT
--- a/stepknot/membership/protocol.py
+++ b/stepknot/membership/protocol.py
@@ -1,6 +1,7 @@
-"""One member's membership protocol: datagrams and ticks in, datagrams and state changes out. No I/O, no clock.
+"""The membership protocol of one member: it takes datagrams and ticks, and returns datagrams and state changes.
 
-`MembershipProtocol` composes the collaborators; the package's docstring has the invariants.
+`MembershipProtocol` composes the collaborators and does no I/O and reads no clock. The package's docstring lists the
+invariants.
 """
 
 from __future__ import annotations
@@ -41,12 +42,12 @@
 
 
 class MembershipProtocol:
-    """One member. All times are seconds of one monotonic clock.
+    """Runs the protocol for one member. All times are seconds of one monotonic clock.
 
     Args:
         settings: Time-outs and limits.
         own: The own record; its state is set to joining.
-        seed: Of the member's random choices.
+        seed: Seed of the member's random choices.
     """
 
     def __init__(self, settings: MembershipSettings, own: Record, seed: int) -> None:
@@ -90,17 +91,17 @@
             wire.AntiEntropyRequest: self.anti_entropy.on_request,
             wire.RecordRequest: self.anti_entropy.on_record_request,
         }
-        self.view.merge(-math.inf, self.member.record, "this process")
+        self.view.merge(-math.inf, self.member.record, "this process started")
 
     # --- events
 
     def tick(self, now: float) -> None:
-        """To be called each `settings.tick_interval` seconds."""
+        """Run the periodic steps. The caller calls this every `settings.tick_interval` seconds."""
         self.health.on_event(now)
         if self.member.stepped_aside:
             return
         if self.member.has_left:
-            self.dissemination.spread(now)
+            self.dissemination.send_round(now)
             return
         self.join.request(now)
         self.view.refresh_subjects(now)
@@ -111,10 +112,10 @@
         self.table.expire(now)
         self.reconnection.contact_absent(now)
         self.anti_entropy.compare(now)
-        self.dissemination.spread(now)
+        self.dissemination.send_round(now)
 
     def receive(self, now: float, data: bytes) -> None:
-        """Take one datagram. One that cannot be used is counted by its reason and dropped."""
+        """Process one datagram. A datagram that cannot be used is counted by its reason and dropped."""
         self.health.on_event(now)
         if self.member.stepped_aside or self.member.has_left:
             return
@@ -129,24 +130,24 @@
             return
         if not self._admit(now, sender):
             return
-        self.view.note_contact(now, sender)
+        self.view.record_contact(now, sender)
         self.indirect_probes.on_contact(now, sender)
         self._handlers[type(envelope.message)](now, sender, envelope.message)
-        self.dissemination.spread_if_due(now)
+        self.dissemination.send_round_if_due(now)
 
     def leave(self, now: float) -> None:
-        """Announce the leave. `tick` is to be called a few times more."""
+        """Announce the leave. The caller calls `tick` a few more times, so that the announcement is repeated."""
         if not self.member.stepped_aside and not self.member.has_left:
             self.dissemination.announce_leave(now)
 
     # --- results
 
     def take(self) -> tuple[list[tuple[Address, bytes]], list[StateChange]]:
-        """Datagrams to be sent, and state changes, since the last call."""
+        """Return the datagrams to be sent and the state changes since the last call."""
         return self.outbox.take(), self.table.take_changes()
 
     def count(self, now: float) -> MemberCount:
-        """How many brokers there are."""
+        """The bounds of the number of brokers at this time."""
         return self._counter.count(now)
 
     @property
@@ -162,18 +163,23 @@
         if unresponsive:
             helpers = self.suspicion.possible_helpers(now)
             self.indirect_probes.request(now, unresponsive, helpers)
-            self.suspicion.judge(now, unresponsive, len(helpers))
+            self.suspicion.evaluate(now, unresponsive, len(helpers))
 
     def _admit(self, now: float, sender: Record) -> bool:
-        """Merge a sender's record; returns whether its message is to be handled."""
+        """Merge a sender's record.
+
+        Returns:
+            Whether the sender's message is to be handled.
+        """
         known = self.table.records.get(sender.name)
         if known is not None and sender.process < known.process:
             self.counters[counters.DROPPED_EARLIER_PROCESS] += 1
-            self.outbox.send(now, sender.address, wire.Gossip([known]))  # so that it steps aside
+            # The newer process's record makes the earlier process give up the name.
+            self.outbox.send(now, sender.address, wire.Gossip([known]))
             return False
         if sender != known:
-            self.view.merge(now, sender, "its own word")
-        return sender.name in self.table.records  # not where the table is full
+            self.view.merge(now, sender, "reported by the member itself")
+        return sender.name in self.table.records  # a full table rejects new senders
 
     def _on_join_request(self, now: float, sender: Record, _: wire.JoinRequest) -> None:
         self.join_responder.answer(now, sender)
--- a/stepknot/membership/refutation.py
+++ b/stepknot/membership/refutation.py
@@ -1,6 +1,6 @@
-"""Changes of the own record: refutation by a greater incarnation, a greater epoch, name conflicts, the leave.
+"""Changes of the own record: refutations by a greater incarnation, greater epochs, name conflicts and the leave.
 
-Invariant 5 of the package (names) is kept here.
+This module implements invariant 5 of the package (names).
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Refutation:
-    """Keeps the own record greater than what others hold of this process."""
+    """Keeps the own record at least as great as every record of this process that other members have."""
 
     def __init__(
         self,
@@ -41,57 +41,57 @@
         self._counts = counts
 
     def replace_record(self, now: float, record: Record, reason: str) -> None:
-        """Take a new own record and spread it."""
+        """Replace the own record and queue it for gossip."""
         self._own.record = record
         self._view.merge(now, record, reason)
 
     def set_state(self, now: float, state: State, reason: str) -> None:
-        """Change the own state."""
+        """Change the state in the own record."""
         self.replace_record(now, msgspec.structs.replace(self._own.record, state=state), reason)
 
     def refute(self, now: float, record: Record) -> None:
-        """Answer a record that is greater than the own one of this process by one that is greater still."""
+        """Replace the own record by a greater one, if the given record of this process is greater than the own one."""
         own = self._own.record
         if record.process != own.process or record.rank <= own.rank:
             return
         self._counts[counters.REFUTED] += 1
         if record.incarnation + 1 < MAX_INCARNATION:
             refuting = msgspec.structs.replace(own, incarnation=record.incarnation + 1)
-            self.replace_record(now, refuting, "proves itself")
+            self.replace_record(now, refuting, "refuted with a greater incarnation")
         else:
-            self._take_epoch(now, record.epoch, "its incarnations are spent")
+            self._take_epoch(now, record.epoch, "the process has no greater incarnation left")
 
     def refute_suspicion(self, now: float, incarnation: int) -> None:
         """Refute that this incarnation of the own process is suspect or dead."""
-        held = msgspec.structs.replace(self._own.record, incarnation=incarnation, state=State.DEAD)
-        self.refute(now, held)
+        claim = msgspec.structs.replace(self._own.record, incarnation=incarnation, state=State.DEAD)
+        self.refute(now, claim)
 
     def on_own_name(self, now: float, record: Record) -> None:
-        """Somebody spreads this record of the own name."""
+        """Handle a record of the own name that came in gossip."""
         if record.process == self._own.record.process:
             self.refute(now, record)
         else:
             self.on_name_conflict(now, record)
 
     def on_name_conflict(self, now: float, record: Record) -> None:
-        """A record of the own name came that is not the own one: the process with the greater (epoch, birth) stays."""
+        """Handle a record of the own name that is not the own one: the process with the greater (epoch, birth) stays."""
         if record.process <= self._own.record.process:
             self.refute(now, record)
             is_older = record.process != self._own.record.process
             if is_older and record.state not in ABSENT_STATES:
-                self._counts[counters.MET_OLDER_PROCESS] += 1
+                self._counts[counters.NAME_CONFLICT_WON] += 1
                 self._outbox.send(now, record.address, wire.Gossip([self._own.record]))
         elif self._process_has_ended(record):
-            self._take_epoch(now, record.epoch, "an earlier process had this name")
+            self._take_epoch(now, record.epoch, "another process that has ended used this name")
         else:
-            self._step_aside(
+            self._give_up_name(
                 now,
-                f"another process took this name: epoch {record.epoch} at "
+                f"another process uses this name and has precedence: epoch {record.epoch} at "
                 f"{record.host}:{record.port}",
             )
 
     def _process_has_ended(self, record: Record) -> bool:
-        """Whether the process of this greater record cannot run any more, so that its name is free."""
+        """Whether the process of this greater record is no longer running, so that its name is free."""
         return (
             not self._own.has_joined
             or record.state in ABSENT_STATES
@@ -103,10 +103,11 @@
             renewed = msgspec.structs.replace(self._own.record, epoch=above + 1, incarnation=0)
             self.replace_record(now, renewed, reason)
         else:
-            self._step_aside(now, "no epoch is left for this name")
+            self._give_up_name(now, f"no epoch after {above} is left for this name")
 
-    def _step_aside(self, now: float, reason: str) -> None:
+    def _give_up_name(self, now: float, reason: str) -> None:
+        """Take no further part in the protocol, and regard this member as isolated."""
         self._own.stepped_aside = True
         self._isolation.begin(now, reason)
-        self._counts[counters.STEPPED_ASIDE] += 1
+        self._counts[counters.NAME_CONFLICT_LOST] += 1
         self._view.table.report(self._own.name, self._own.record.state, None, reason)
--- a/stepknot/membership/send_budget.py
+++ b/stepknot/membership/send_budget.py
@@ -1,35 +1,40 @@
-"""The send budget: bytes a second on the long run, with a burst on top after quiet times (a token bucket)."""
+"""The send budget: a token bucket with a long-term rate in bytes a second, and a burst after idle times."""
 
 from __future__ import annotations
 
 import math
 
-# Shares of the burst that may be borrowed beyond what is saved.
+# Shares of the burst that may be borrowed when no bytes are available any more.
 ANSWER_BORROW = 0.25
 HEARTBEAT_BORROW = 1.0
 
 
 class SendBudget:
-    """Invariant: from any moment on, no more than `rate` times the seconds passed, plus two bursts, is ever granted."""
+    """Limits the bytes sent. In any interval it grants at most `rate` times its seconds, plus two bursts."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate = rate  # bytes a second
         self.burst = burst  # bytes
-        self.saved = burst  # bytes; below zero: borrowed
+        self.available = burst  # bytes; negative if bytes are borrowed
         self.updated_at = -math.inf
 
     def grant(self, now: float, size: int, borrow: float) -> bool:
-        """Whether so many bytes may be sent; they are taken off then.
+        """Decide whether a datagram may be sent, and deduct its size if so.
 
         Args:
             now: Seconds.
-            size: Bytes.
-            borrow: The share of the burst by which they may exceed what is saved. A negative one is the share that
-                must be left.
+            size: Size of the datagram in bytes.
+            borrow: The share of the burst by which the size may exceed the available bytes. A negative value is the
+                share that must remain available.
+
+        Returns:
+            Whether the datagram may be sent.
         """
-        self.saved = min(self.burst, self.saved + self.rate * max(now - self.updated_at, 0.0))
+        self.available = min(
+            self.burst, self.available + self.rate * max(now - self.updated_at, 0.0)
+        )
         self.updated_at = now
-        if self.saved - size < -borrow * self.burst:
+        if self.available - size < -borrow * self.burst:
             return False
-        self.saved -= size
+        self.available -= size
         return True
--- a/stepknot/membership/subject.py
+++ b/stepknot/membership/subject.py
@@ -1,4 +1,4 @@
-"""What an observer knows of one member that it observes (its subject, in the terms of Rapid)."""
+"""The state that an observer keeps for one member that it observes (its subject, in the terms of Rapid)."""
 
 from __future__ import annotations
 
@@ -8,32 +8,34 @@
 
 @dataclass(slots=True)
 class Subject:
-    """Times are seconds of the observer's clock; -inf: never."""
+    """Keeps an observer's observations of one subject. Times are seconds of the observer's clock; -inf: never."""
 
-    observed_since: float  # silence is counted from then
-    last_received: float = -math.inf  # a datagram came from it to this member
-    last_sign: float = -math.inf  # the youngest sign of life, received here or reported by a helper
+    observed_since: float  # earliest start of the time without a sign of life
+    last_received: float = -math.inf  # when this member last received a datagram from the subject
+    last_sign: float = -math.inf  # the latest sign of life, received here or reported by a helper
     last_sign_source: str = ""
-    last_received_by_it: float = -math.inf  # it received something from here, as it says itself
+    # When the subject last received something from this member, according to the subject's heartbeats.
+    last_received_by_it: float = -math.inf
     next_heartbeat: float = 0.0
     next_probe: float = 0.0
-    # Who reported a sign of life when nothing was received here: a way round a cut, asked first the next time.
+    # The helper that last reported a fresh sign of life. It may reach the subject across a partition, so it is asked
+    # first the next time.
     last_reporter: str = ""
-    differs_since: float = math.inf  # since when its view's digest differs from the one here
-    # Helpers that had no younger observation, and when they said so.
+    differs_since: float = math.inf  # since when the digest of the subject's view differs from this one
+    # The helpers whose answers left the subject unresponsive, and when each of them last answered.
     confirmations: dict[str, float] = field(default_factory=dict)
 
-    def note_sign(self, at: float, source: str) -> None:
-        """Take a sign of life, where it is the youngest."""
+    def record_sign_of_life(self, at: float, source: str) -> None:
+        """Store a sign of life, if it is the latest one."""
         if at > self.last_sign:
             self.last_sign, self.last_sign_source = at, source
 
-    def silence(self, now: float) -> float:
+    def unresponsive_time(self, now: float) -> float:
         """Seconds without a sign of life."""
         return now - max(self.last_sign, self.observed_since)
 
     def shift(self, gap: float) -> None:
-        """Move all times by the seconds in which the observer itself stood still."""
+        """Take the length of a pause of the observer's own process out of all elapsed times."""
         self.observed_since += gap
         self.last_received += gap
         self.last_sign += gap
@@ -41,6 +43,6 @@
         self.confirmations.clear()
 
     def drop_confirmations(self, before: float) -> None:
-        """Forget confirmations that are older."""
+        """Remove the confirmations that are older than `before`."""
         for name in [name for name, at in self.confirmations.items() if at < before]:
             del self.confirmations[name]
--- a/stepknot/membership/view.py
+++ b/stepknot/membership/view.py
@@ -1,4 +1,4 @@
-"""This member's view of the fleet: the table, the rings and the subjects, kept consistent with each other."""
+"""This member's view of the fleet: keeps the table, the rings and the subjects consistent with each other."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class MembershipView:
-    """The only place where a record is merged."""
+    """Holds the table, the rings, the subjects and the queue of updates. All records are merged here."""
 
     def __init__(self, settings: MembershipSettings, own_name: str, rng: random.Random) -> None:
         self._period = settings.period
@@ -24,12 +24,17 @@
         self.rings = ObserverRings(settings.rings)
         self.gossip = GossipQueue(settings.gossip_rounds, storm_rate=MAX_FULL_RECORDS)
         self.probe_requests = ProbeRequests(settings.period)
-        self.subjects: dict[str, Subject] = {}  # the members that this one observes
-        self.neighbours: dict[str, None] = {}  # an ordered set: subjects that are not suspect
+        self.subjects: dict[str, Subject] = {}  # the members that this member observes
+        # An ordered set of the subjects that were not suspect when the subjects were last refreshed.
+        self.neighbours: dict[str, None] = {}
         self._subjects_outdated = False
 
     def merge(self, now: float, record: Record, reason: str) -> bool:
-        """Merge a record into the table and pass it on; returns whether it was newer."""
+        """Merge a record into the table and, if it is newer, queue it for gossip.
+
+        Returns:
+            Whether the record was newer.
+        """
         old = self.table.present.get(record.name)
         if not self.table.put(now, record, reason):
             return False
@@ -42,7 +47,7 @@
         return True
 
     def refresh_subjects(self, now: float) -> None:
-        """Observe the members that the rings name now, where a change made that necessary."""
+        """Select the subjects from the rings again, if the members have changed."""
         if not self._subjects_outdated:
             return
         self._subjects_outdated = False
@@ -55,19 +60,19 @@
                 first_heartbeat = now + self._rng.random() * self._period
                 self.subjects[name] = Subject(now, next_heartbeat=first_heartbeat)
 
-    def note_contact(self, now: float, sender: Record) -> None:
-        """A datagram came from this member."""
+    def record_contact(self, now: float, sender: Record) -> None:
+        """Store that a datagram was received from this member."""
         subject = self.subjects.get(sender.name)
         if subject is not None:
             subject.last_received = now
-            subject.note_sign(now, "heard here")
+            subject.record_sign_of_life(now, "received here")
 
     def is_suspect(self, name: str) -> bool:
         """Whether a present member is suspect."""
         return self.table.present[name].state is State.SUSPECT
 
     def others_present(self, name: str) -> list[Record]:
-        """Records of all present members but this one."""
+        """Records of all present members except the named one."""
         return [each for each in self.table.present.values() if each.name != name]
 
     def _remove(self, name: str) -> None:
@@ -84,4 +89,4 @@
             return
         if old is None or old.process != record.process:
             subject = self.subjects[record.name] = Subject(now)
-        subject.note_sign(now, "a newer incarnation")
+        subject.record_sign_of_life(now, "a newer incarnation")
