--- a/stepknot/membership/helper_selection.py
+++ b/stepknot/membership/helper_selection.py
@@ -14,7 +14,7 @@
 class HelperSelection:
     """Selects helpers by earlier reports, by rings, by recent contact, and by rotation.
 
-    The random generator is passed in.
+    All random choices come from the given generator.
     """
 
     def __init__(
--- a/stepknot/membership/model.py
+++ b/stepknot/membership/model.py
@@ -91,12 +91,15 @@
 
     @property
     def suspect_after(self) -> float:
-        """Time without a sign of life until a member is suspect: four lost heartbeats in a row."""
+        """Time without a sign of life here or at helpers until a member is suspect: four lost heartbeats in a row."""
         return 4 * self.period
 
     @property
     def dead_after(self) -> float:
-        """Time without a sign of life until a member is dead: the tolerated pause and one heartbeat period."""
+        """Time without a sign of life until a member is dead.
+
+        It is the tolerated pause, and one period for the heartbeat before the pause and the delay of the one after it.
+        """
         return self.pause + self.period
 
     @property
--- a/stepknot/membership/suspicion.py
+++ b/stepknot/membership/suspicion.py
@@ -68,7 +68,8 @@
 
     def _evaluate_suspect(self, now: float, name: str, helper_count: int) -> None:
         if now - self._view.table.last_changes[name].at < self._settings.suspect_after:
-            return  # the suspect gets time to learn of the suspicion and to refute it
+            # The suspect gets time to learn of the suspicion and to refute it, however long it was unresponsive.
+            return
         subject = self._view.subjects[name]
         if (
             subject.unresponsive_time(now) > self._settings.dead_after
@@ -78,7 +79,7 @@
             and self._is_partition_ruled_out(now, subject, helper_count)
         ):
             self._declare(now, name, State.DEAD)
-            self._isolation.update(now)  # half of all members may be dead now
+            self._isolation.update(now)  # with this death, half of all members may have failed
 
     def _is_partition_ruled_out(self, now: float, subject: Subject, helper_count: int) -> bool:
         """Whether too few members failed at once for a partition, or the evidence for a death is strong enough.
--- a/tests/membership/test_model.py
+++ b/tests/membership/test_model.py
@@ -385,8 +385,8 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_the_failure_of_a_third_is_detected_by_all_also_with_a_small_send_budget(seed: int) -> None:
-    """Probe requests about the lost members, and the answers, once used the whole send budget of the others. Nothing was
-    left for gossip of the deaths and for repairs, so the probe requests never ended.
+    """Probe requests about the lost members, and the answers, once used the whole send budget of the others. Nothing
+    was left for gossip of the deaths and for repairs, so the probe requests never ended.
     """
     model = ready(40, seed, MembershipSettings(rate=1200.0, burst=9600.0))
     lost, at = set(list(model.processes)[1::3]), model.now
