--- a/stepknot/membership/rings.py
+++ b/stepknot/membership/rings.py
@@ -44,7 +44,7 @@
             del ring[bisect_left(ring, own)]
 
     def neighbours_of(self, name: str, is_skipped: Callable[[str], bool]) -> Neighbours:
-        """The nearest members that are not skipped in both directions of each ring, and the skipped ones before them."""
+        """The nearest members that are not skipped in both directions of each ring, with the skipped ones between."""
         if len(self.positions) <= 2 * len(self.rings) + 1:
             return self._all_others(name, is_skipped)
         nearest: dict[str, None] = {}
