--- a/bench/trace_packages/membership.py
+++ b/bench/trace_packages/membership.py
@@ -191,9 +191,7 @@
         numbers = rng.randrange(-1, 5000), rng.randrange(2**62), rng.randrange(-1, 3)
         return wire.Heartbeat(*numbers, rng.random() < 0.5, rng.random() < 0.5)
     if kind == 1:
-        return wire.IndirectProbeRequest(
-            [any_record(rng).name for _ in range(rng.randrange(5))]
-        )
+        return wire.IndirectProbeRequest([any_record(rng).name for _ in range(rng.randrange(5))])
     if kind == 2:
         subject = any_record(rng)
         return wire.IndirectProbeAnswer(
@@ -205,16 +203,12 @@
         return wire.Gossip(
             [any_record(rng) for _ in range(rng.randrange(9))],
             [
-                wire.ShortUpdate(
-                    rng.choice(identities), rng.randrange(3), State(rng.randrange(5))
-                )
+                wire.ShortUpdate(rng.choice(identities), rng.randrange(3), State(rng.randrange(5)))
                 for _ in range(rng.randrange(4))
             ],
         )
     if kind == 5:
-        return wire.RecordRequest(
-            [rng.choice(identities)], rng.randbytes(rng.randrange(60))
-        )
+        return wire.RecordRequest([rng.choice(identities)], rng.randbytes(rng.randrange(60)))
     return wire.AntiEntropyRequest(
         rng.randrange(64), rng.randrange(64), rng.randbytes(rng.randrange(60))
     )
@@ -223,7 +217,7 @@
 def play_arbitrary(trace: Trace) -> None:
     """Send arbitrary well-formed and malformed messages to the broker's driver, and add its view and metrics."""
 
-    def log(event: str, **fields: Any) -> None:  # noqa: ARG001
+    def log(event: str, **fields: Any) -> None:
         if "reason" in fields:
             fields["reason"] = as_recorded(fields["reason"])
         trace.add(*fields.values())
@@ -248,13 +242,9 @@
             loop.now += rng.choice([0.0, 0.05, 0.05, 0.1, 0.3, 4.0])
             identities = [*driver.protocol.table.identities, 7]
             message = any_message(rng, identities)
-            data = wire.encode(
-                FLEET if rng.random() < 0.99 else "x", any_record(rng), message
-            )
+            data = wire.encode(FLEET if rng.random() < 0.99 else "x", any_record(rng), message)
             if rng.random() < 0.02:
-                data = data[: rng.randrange(len(data))] + rng.randbytes(
-                    rng.choice([1, 1200])
-                )
+                data = data[: rng.randrange(len(data))] + rng.randbytes(rng.choice([1, 1200]))
             driver.on_datagram((), data)
             driver.tick()
             if number % 60 == 0:
--- a/stepknot/membership/local_health.py
+++ b/stepknot/membership/local_health.py
@@ -50,5 +50,6 @@
         self.recovering_until = now + self._settings.suspect_after
         for subject in self._view.subjects.values():
             subject.shift(gap)
-            subject.next_heartbeat = now  # so that this member's observers know at once that it runs
+            # Heartbeats are due now, so that this member's observers know at once that it runs.
+            subject.next_heartbeat = now
         self._isolation.shift(gap)
--- a/stepknot/membership/model.py
+++ b/stepknot/membership/model.py
@@ -23,7 +23,7 @@
 
     JOINING = 0  # the member has sent a join request and knows no other member yet
     ALIVE = 1
-    SUSPECT = 2  # the observers receive nothing from the member, which can still refute the suspicion
+    SUSPECT = 2  # the observers receive nothing from the member; it can still refute this
     DEAD = 3
     LEFT = 4  # the member has announced its leave
 
@@ -74,7 +74,7 @@
 
     fleet: str = "stepknot"
     seeds: tuple[Address, ...] = ()
-    configured: int = 1  # number of brokers in the settings: the minimum of an uncertain upper bound
+    configured: int = 1  # brokers in the settings: the minimum of an uncertain upper bound
     period: float = 0.5  # seconds between two heartbeats to one member
     rings: int = 4  # each ring gives a member two observers and two subjects
     pause: float = 5.0  # a member whose process pause is not longer than this is not declared dead
--- a/stepknot/membership/outbox.py
+++ b/stepknot/membership/outbox.py
@@ -13,7 +13,7 @@
 # must leave one, so this reserve is larger. Repairs end an update storm: when probe requests were sent first, a fleet
 # that lost a third of its members at once never stopped sending probe requests.
 PROBE_REQUEST_RESERVE = 3
-MAX_RESERVE_SHARE = 0.5  # largest share of the burst that the reserve may take if the burst is small
+MAX_RESERVE_SHARE = 0.5  # limits the reserve, as a share of the burst, if the burst is small
 
 
 class Outbox:
--- a/tests/membership/test_join.py
+++ b/tests/membership/test_join.py
@@ -31,9 +31,7 @@
         protocol.tick(step / 10)
         requests += len(protocol.take()[0])
     assert (
-        20 <= requests <= 100
-        and not protocol.member.has_joined
-        and protocol.isolation.is_isolated
+        20 <= requests <= 100 and not protocol.member.has_joined and protocol.isolation.is_isolated
     )
     count = protocol.count(59.9)
     assert (count.lower_bound, count.upper_bound, count.is_certain) == (1, 7, False)
--- a/tests/membership/test_model.py
+++ b/tests/membership/test_model.py
@@ -16,7 +16,8 @@
 
 SIZE = 20
 SETTINGS = MembershipSettings()
-DETECTION_TIME = SETTINGS.dead_after + 1.0  # seconds until all members know of a crash, without loss
+# Seconds until all members know of a crash, without loss.
+DETECTION_TIME = SETTINGS.dead_after + 1.0
 
 
 def ready(size: int = SIZE, seed: int = 1, settings: MembershipSettings | None = None) -> Model:
@@ -78,10 +79,7 @@
     model.run(at + DETECTION_TIME)
     times = first_changes(model, "b1", State.DEAD, at)
     assert len(times) == size - 1
-    assert (
-        SETTINGS.pause <= min(times.values()) - at
-        and max(times.values()) - at <= DETECTION_TIME
-    )
+    assert SETTINGS.pause <= min(times.values()) - at and max(times.values()) - at <= DETECTION_TIME
     assert deaths(model, at) == {"b1"}
     # The dead member may still run, cut off from the others, so the upper bound includes it.
     assert counts(model, "b2") == MemberCount(size - 1, size, True)
@@ -130,10 +128,9 @@
     crashed = model.now
     model.kill("b4")
     model.run(crashed + 2 * DETECTION_TIME)  # loss at most doubles the detection time
-    assert (
-        len(first_changes(model, "b4", State.DEAD, crashed)) == SIZE - 1
-        and deaths(model, at) == {"b4"}
-    )
+    assert len(first_changes(model, "b4", State.DEAD, crashed)) == SIZE - 1 and deaths(
+        model, at
+    ) == {"b4"}
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
--- a/tests/membership/test_peers_view.py
+++ b/tests/membership/test_peers_view.py
@@ -28,7 +28,9 @@
         "reachable reaches_me_by_report"
     )
     assert own["self"] and not own["watched"] and not own["reachable"] and own["heard"] is None
-    assert other["watched"] and not other["self"] and other["why"] == "reported by the member itself"
+    assert (
+        other["watched"] and not other["self"] and other["why"] == "reported by the member itself"
+    )
 
 
 def test_the_metrics_have_their_stable_names_and_labels() -> None:
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -58,7 +58,11 @@
     brokers.watch(3 * DEAD_AFTER)
     assert not brokers.dead(since)
     (row,) = [row for row in brokers.view("b2")["members"] if row["name"] == "b1"]
-    assert row["state"] == "alive" and not row["reachable"] and row["sign_by"].startswith("received by ")
+    assert (
+        row["state"] == "alive"
+        and not row["reachable"]
+        and row["sign_by"].startswith("received by ")
+    )
 
 
 def test_a_member_that_no_other_receives_is_isolated_and_dead_until_it_is_received_again(
@@ -201,9 +205,7 @@
         (old.peer, spare.peer),
     ):
         text = text.replace(f'"127.0.0.1:{before}"', f'"127.0.0.1:{after}"')
-    text = text.replace(
-        f'advertise = "{relayed_address}"', f'advertise = "127.0.0.1:{spare.peer}"'
-    )
+    text = text.replace(f'advertise = "{relayed_address}"', f'advertise = "127.0.0.1:{spare.peer}"')
     (brokers.fleet.folder / "broker-8.hcl").write_text(text)
     brokers.fleet.start_broker(spare)
     try:
--- a/tests/membership/test_rings.py
+++ b/tests/membership/test_rings.py
@@ -26,7 +26,5 @@
         assert all(name in neighbours[other][0] for other in nearest if name not in suspects)
     for name in suspects:  # at least one member that is not suspect still observes each suspect
         assert any(
-            name in skipped
-            for other, (_, skipped) in neighbours.items()
-            if other not in suspects
+            name in skipped for other, (_, skipped) in neighbours.items() if other not in suspects
         )
--- a/tests/membership/test_suspicion.py
+++ b/tests/membership/test_suspicion.py
@@ -70,8 +70,9 @@
             protocol.receive(now, datagram(record(name), wire.Heartbeat(0, protocol.table.digest)))
             if number < helpers:
                 observations = [wire.Observation(each, *record(each).process, -1) for each in lost]
-                answer = wire.IndirectProbeAnswer(observations)
-                protocol.receive(now, datagram(record(name), answer))
+                protocol.receive(
+                    now, datagram(record(name), wire.IndirectProbeAnswer(observations))
+                )
         protocol.tick(now)
     observed = [
         name
--- a/tests/membership/test_wire.py
+++ b/tests/membership/test_wire.py
@@ -98,9 +98,7 @@
                         rng.random() < 0.5,
                         rng.random() < 0.5,
                     ),
-                    wire.IndirectProbeRequest(
-                        [any_record().name for _ in range(rng.randrange(5))]
-                    ),
+                    wire.IndirectProbeRequest([any_record().name for _ in range(rng.randrange(5))]),
                     wire.JoinRequest(),
                     wire.IndirectProbeAnswer(
                         [
