--- a/stepknot/membership/subject.py
+++ b/stepknot/membership/subject.py
@@ -21,9 +21,7 @@
     # The helper that last reported a fresh sign of life. It may reach the subject across a partition, so it is asked
     # first the next time.
     last_reporter: str = ""
-    differs_since: float = (
-        math.inf
-    )  # since when the subject reports another digest than this view's
+    differs_since: float = math.inf  # since when the subject's digest differs from this view's
     # The helpers whose answers left the subject unresponsive, and when each of them last answered.
     confirmations: dict[str, float] = field(default_factory=dict)
 
