--- a/bench/planted_defects/zones.py
+++ b/bench/planted_defects/zones.py
@@ -1,4 +1,4 @@
-"""Planted defects of zones."""
+"""Planted defects in `stepknot/zones`."""
 
 from bench.planted_defects.defect import PlantedDefect
 
@@ -54,14 +54,14 @@
     ),
     PlantedDefect(
         path="stepknot/zones/server_activity.py",
-        original="        if served_meanwhile:\n            return False\n",
+        original="        if served_since_sent:\n            return False\n",
         replacement="",
         tests=("tests/zones/test_failover.py",),
         invariant="4",
     ),
     PlantedDefect(
         path="stepknot/zones/server_activity.py",
-        original="seconds >= SILENT_ANSWER_TIMES * self._mean_seconds",
+        original="seconds >= LOST_ANSWER_TIMES * self._mean_seconds",
         replacement="seconds >= 0",
         tests=("tests/zones/test_failover.py",),
         invariant="4",
@@ -82,8 +82,8 @@
     ),
     PlantedDefect(
         path="stepknot/zones/shedding.py",
-        original="        shortest, longest = RETRY_AFTER\n",
-        replacement="        return 1.0\n        shortest, longest = RETRY_AFTER\n",
+        original="        shortest, longest = RETRY_AFTER_RANGE\n",
+        replacement="        return 1.0\n        shortest, longest = RETRY_AFTER_RANGE\n",
         tests=("tests/zones/test_failover.py",),
         invariant="6",
     ),
@@ -96,7 +96,7 @@
     ),
     PlantedDefect(
         path="stepknot/zones/evidence.py",
-        original="if not mostly_fails and not self._is_silent(now):",
+        original="if not mostly_fails and not self._serves_nothing(now):",
         replacement="if not mostly_fails:",
         tests=("tests/zones/test_failover.py",),
         invariant="4",
--- a/bench/trace_packages/zones.py
+++ b/bench/trace_packages/zones.py
@@ -1,8 +1,9 @@
-"""Seeded runs of zones: losses, partial losses, recoveries, relapses, endpoint lists, overload, clock steps."""
+"""Seeded runs of zone failover: losses, partial losses, recoveries, relapses, endpoint lists, overload, clock steps."""
 
 from __future__ import annotations
 
 import random
+import re
 from dataclasses import replace
 
 from bench.trace_packages.trace import Trace
@@ -25,18 +26,37 @@
     ),
 )
 
+# Reasons of state changes: the present text as a pattern, and the text that the recorded digest contains.
+RECORDED_REASONS = (
+    (re.compile(r"initial state: no part has failed yet"), "nothing was seen yet"),
+    (re.compile(r"the zone served a trial part"), "a trial was served"),
+    (
+        re.compile(r"parts failed again while the zone was recovering"),
+        "it failed again on its way back",
+    ),
+    (re.compile(r"the zone gets its full baseline again"), "all of what it had is back"),
+)
+
+
+def recorded_reason(reason: str) -> str:
+    """Return the text that the recorded digest contains for a reason."""
+    for pattern, recorded in RECORDED_REASONS:
+        if pattern.fullmatch(reason):
+            return recorded
+    return reason
+
 
 def record(trace: Trace) -> None:
     """Play all runs."""
     for seed in SEEDS:
         _Run(trace, seed).play()
     for zones in (1, 2, 3, 10, 50):
-        bounds = derive_settings(FailoverSettings(), zones, WarmUp(0.1, 8.0), 1.0)
-        trace.add(bounds.spill, bounds.near, bounds.step, bounds.first)
+        derived = derive_settings(FailoverSettings(), zones, WarmUp(0.1, 8.0), 1.0)
+        trace.add(derived.spill, derived.near, derived.step, derived.first)
 
 
 class _Run:
-    """One broker among zones that are lost and return."""
+    """One broker with zones that are lost and recover."""
 
     def __init__(self, trace: Trace, seed: int) -> None:
         self.trace, self.rng = trace, random.Random(seed)
@@ -50,22 +70,22 @@
             for number in range(5)
         ]
         self.down: set[str] = set()
-        self.noisy: set[str] = set()
+        self.faulty: set[str] = set()
         self.zones.update_endpoints(self.now, self.entries)
 
     def play(self) -> None:
-        """Warm up, then phases of random trouble, then all is well for a while."""
+        """Run without faults at first, then through phases with random faults, then without faults again."""
         self.run(8.0, 100)
         for _ in range(PHASES):
             self.disturb()
             self.run(self.rng.uniform(1.0, 4.0), self.rng.choice([40, 100, 100, 250]))
         self.down.clear()
-        self.noisy.clear()
+        self.faulty.clear()
         self.zones.update_endpoints(self.now, self.entries)
         self.run(6.0, 60)
 
     def disturb(self) -> None:
-        """Change what is lost, listed, noisy, or the clock."""
+        """Change which zones or servers are down, listed or faulty, or step the clock."""
         rng, name = self.rng, self.rng.choice(self.names)
         match rng.randrange(10):
             case 0 | 1 | 2:
@@ -85,22 +105,22 @@
                 ]
                 self.zones.update_endpoints(self.now, self.entries)
             case 8:
-                self.noisy ^= {name}
+                self.faulty ^= {name}
             case 9:
                 self.now += rng.choice([-5.0, 30.0])
 
     def run(self, seconds: float, rate: float) -> None:
-        """Queries of several worths at a rate."""
+        """Play queries of several priorities at this rate."""
         rng = self.rng
         until = self.now + seconds
         while self.now < until:
             self.now += TICK
             for _ in range(int(rate * TICK)):
                 parts = rng.choice([1, 1, 1, 4])
-                worth = rng.choice([1.0, 4.0, 16.0])
-                advice = self.zones.admit(self.now, worth, parts, rng.random() < 0.2)
-                self.trace.add(advice)
-                if advice is None or rng.random() < 0.3:
+                priority = rng.choice([1.0, 4.0, 16.0])
+                retry_after = self.zones.admit(self.now, priority, parts, rng.random() < 0.2)
+                self.trace.add(retry_after)
+                if retry_after is None or rng.random() < 0.3:
                     for _ in range(parts):
                         self.part()
             if rng.random() < 0.2:
@@ -109,44 +129,44 @@
         self.views()
 
     def part(self) -> None:
-        """Place one part and end its attempt."""
+        """Send one part to a random candidate and end its attempt."""
         rng = self.rng
-        only = rng.choice([self.names, self.names, self.names, "b", "ba"])
-        candidates = [each for each in self.entries if each.zone in only]
-        places = self.zones.narrow(self.now, candidates, rng.random() < 0.8, rng.random() < 0.1)
-        self.trace.add(len(places), *places)
-        if not places:
+        replica_zones = rng.choice([self.names, self.names, self.names, "b", "ba"])
+        candidates = [each for each in self.entries if each.zone in replica_zones]
+        indices = self.zones.narrow(self.now, candidates, rng.random() < 0.8, rng.random() < 0.1)
+        self.trace.add(len(indices), *indices)
+        if not indices:
             return
-        entry = candidates[rng.choice(places)]
+        entry = candidates[rng.choice(indices)]
         self.zones.on_attempt_sent(self.now, entry.server)
         self.zones.end_turn()
         outcome, elapsed = Outcome.SERVED, rng.uniform(0.005, 0.02)
         if entry.zone in self.down or entry.server in self.down:
             outcome = rng.choice([Outcome.NOT_CONNECTED, Outcome.CANCELLED, Outcome.TIMED_OUT])
             elapsed = rng.choice([0.001, 0.5])
-        elif entry.zone in self.noisy and rng.random() < 0.5:
+        elif entry.zone in self.faulty and rng.random() < 0.5:
             outcome, elapsed = rng.choice(OTHER_OUTCOMES), rng.choice([0.01, 0.3])
         self.zones.on_attempt_ended(self.now, entry.server, outcome, elapsed)
 
     def check_health(self) -> None:
-        """A health check of some server, or of one that is not listed."""
+        """Play a health check of a random server, or of one that is not listed."""
         rng = self.rng
         server = rng.choice([*(each.server for each in self.entries), "unknown"])
-        way = {"a": 0.001, "b": 0.01, "c": 0.1}.get(server[0], 1.0)
+        round_trip = {"a": 0.001, "b": 0.01, "c": 0.1}.get(server[0], 1.0)
         self.zones.on_health_check(
-            self.now, server, way * rng.uniform(0.8, 2.0), rng.random() < 0.9
+            self.now, server, round_trip * rng.uniform(0.8, 2.0), rng.random() < 0.9
         )
 
     def changes(self) -> None:
-        """Changes of state, as they are logged."""
+        """Add the changes of state, as they are logged."""
         for change in self.zones.take_changes():
-            self.trace.add(change.zone, change.old, change.new, change.reason)
+            self.trace.add(change.zone, change.old, change.new, recorded_reason(change.reason))
             evidence = change.evidence
             self.trace.add(evidence.failing_fraction, evidence.samples, evidence.servers)
             self.trace.add(evidence.relapses, evidence.recovery_fraction)
 
     def views(self) -> None:
-        """What operators see."""
+        """Add the views that operators get."""
         self.trace.add(
             self.zones.has_unhealthy_zone(), self.zones.derived.spill, self.zones.shedder.shed_parts
         )
@@ -159,5 +179,5 @@
                 view.recovery_fraction,
                 view.failing_fraction,
                 view.relapses,
-                view.reason,
+                recorded_reason(view.reason),
             )
--- a/stepknot/zones/decay.py
+++ b/stepknot/zones/decay.py
@@ -8,14 +8,14 @@
 
 @dataclass(slots=True)
 class DecayingSum:
-    """A sum of which half is forgotten in `half_life` seconds."""
+    """A sum that decays by half every `half_life` seconds."""
 
     half_life: float
-    value: float = 0.0  # at `updated_at`
+    value: float = 0.0  # as of `updated_at`
     updated_at: float = 0.0
 
     def add(self, now: float, amount: float) -> None:
-        """Add an amount now."""
+        """Add an amount at time `now`."""
         if now == self.updated_at:
             self.value += amount
             return
@@ -23,20 +23,20 @@
         self.updated_at = max(now, self.updated_at)
 
     def value_at(self, now: float) -> float:
-        """The sum, decayed to now."""
+        """Return the sum, decayed to `now`."""
         return self.value * math.exp2(min(0.0, (self.updated_at - now) / self.half_life))
 
 
 @dataclass(slots=True)
 class DecayingRate:
-    """Events a second, as an exponential mean over `memory` seconds."""
+    """Events per second, as an exponential moving average with a time constant of `memory` seconds."""
 
     memory: float
-    value: float = 0.0  # at `updated_at`
+    value: float = 0.0  # as of `updated_at`
     updated_at: float | None = None
 
     def add(self, now: float, amount: float) -> None:
-        """Count events now."""
+        """Count `amount` events at time `now`."""
         if now == self.updated_at:
             self.value += amount / self.memory
             return
@@ -44,7 +44,7 @@
         self.updated_at = now if self.updated_at is None else max(now, self.updated_at)
 
     def rate_at(self, now: float) -> float:
-        """Events a second now."""
+        """Return the events per second as of `now`."""
         if self.updated_at is None:
             return 0.0
         return self.value * math.exp(min(0.0, (self.updated_at - now) / self.memory))
--- a/stepknot/zones/failover.py
+++ b/stepknot/zones/failover.py
@@ -1,9 +1,10 @@
-"""Failover between zones, as a broker holds it: composes health, limits, tiers and shedding.
+"""Zone failover of one broker: combines zone health, limits, locality tiers and shedding.
 
-`narrow` narrows the decision module's candidates; the module chooses among them by fewest in flight. The own zone and
-those so near that the round trip is not felt are one tier; farther ones follow. While every zone is healthy nothing
-else acts. Once one is not, each healthy zone gets at most `spill` times its baseline, a recovering one a growing
-fraction of its baseline, an unavailable one trials only; what fits nowhere is shed before it is sent.
+`narrow` narrows the decision module's candidates; the module then picks the one with the fewest parts in flight. The
+broker's own zone, and zones whose round trip is negligible, form one tier; farther zones form the next. While every
+zone is healthy, only the tiers narrow the candidates. Once a zone is not healthy, each healthy zone gets at most
+`spill` times its baseline, a recovering zone a growing fraction of its baseline, and an unavailable zone trials and the
+parts whose last replicas it has. Queries that exceed these limits are shed before they are sent.
 """
 
 from __future__ import annotations
@@ -22,19 +23,20 @@
 from stepknot.zones.tiers import LocalityTiers
 from stepknot.zones.zone import Zone
 
-MAX_CHANGES = 1000  # state changes that are kept for the log
-MIN_ZONES = 2  # for which limits are derived until the endpoint list is there
+MAX_CHANGES = 1000  # maximum number of state changes kept for the log
+INITIAL_ZONE_COUNT = 2  # number of zones assumed for derived limits until the endpoint list arrives
 
 
 class ZoneFailover:
-    """Decisions about zones of one broker.
+    """Makes the zone decisions of one broker.
 
     Args:
-        settings: What is given; the rest is derived from the warm-up, the objective and the number of zones.
-        cold_share: Fraction of its work that a server can do after its start.
-        cold_time: Seconds until it can do all.
-        latency_objective: The shortest of all classes, in seconds.
-        seed: Of the trials' and Retry-After's chance.
+        settings: The configured settings; the remaining ones are derived from the warm-up, the latency objective and
+            the number of zones.
+        cold_share: Fraction of its full capacity that a server has right after its start.
+        cold_time: Seconds from a server's start until it has its full capacity.
+        latency_objective: The shortest latency objective of all classes, in seconds.
+        seed: Seed of the random times of trials and of Retry-After.
     """
 
     def __init__(
@@ -49,7 +51,7 @@
         self.warm_up = WarmUp(cold_share, cold_time)
         self.latency_objective = latency_objective
         self.derived = derive_settings(
-            settings.failover, MIN_ZONES, self.warm_up, latency_objective
+            settings.failover, INITIAL_ZONE_COUNT, self.warm_up, latency_objective
         )
         self.rng = random.Random(seed)
         self.now = 0.0
@@ -63,48 +65,48 @@
         self._activity = ServerActivity()
 
     def zone(self, name: str) -> Zone:
-        """The zone of this name, which may be new."""
+        """Return the zone of this name; create it if it is new."""
         zone = self.zones.get(name)
         if zone is None:
             zone = self.zones[name] = Zone(self.derived, self.rng)
         return zone
 
     def has_unhealthy_zone(self) -> bool:
-        """Whether a zone is unavailable or recovering."""
+        """Return whether any zone is unavailable or recovering."""
         return not self.limits.all_healthy
 
     # --- events
 
     def update_endpoints(self, now: float, entries: Iterable[ServerEntry]) -> None:
-        """The endpoint list, with all servers listed now."""
+        """Apply a new endpoint list, which contains all servers that are listed now."""
         self.advance(now)
-        starts = self._take_entries(entries)
+        start_times = self._map_servers(entries)
         self._activity.keep_only(self.zone_of_server)
-        for name in starts:
+        for name in start_times:
             self.zone(name)
         self.derived = derive_settings(
             self.settings.failover, len(self.zones), self.warm_up, self.latency_objective
         )
         self.limits.settings = self.derived
         for name, zone in self.zones.items():
-            zone.update_servers(self.now, tuple(starts.get(name, ())))
+            zone.update_servers(self.now, tuple(start_times.get(name, ())))
         self.record_changes()
         self.tiers.update()
         self._update_healthy_counts()
 
-    def _take_entries(self, entries: Iterable[ServerEntry]) -> Mapping[str, list[float]]:
-        """Map servers to zones; returns the live servers' start times by zone, also of zones without any."""
-        starts: dict[str, list[float]] = defaultdict(list)
+    def _map_servers(self, entries: Iterable[ServerEntry]) -> Mapping[str, list[float]]:
+        """Map servers to zones; return the start times of live servers by zone, for every zone that is listed."""
+        start_times: dict[str, list[float]] = defaultdict(list)
         self.zone_of_server = {}
         for entry in entries:
             self.zone_of_server[entry.server] = entry.zone
-            of_zone = starts[entry.zone]
+            zone_start_times = start_times[entry.zone]
             if entry.state is ServerState.LIVE:
-                of_zone.append(entry.up_since)
-        return starts
+                zone_start_times.append(entry.up_since)
+        return start_times
 
     def _update_healthy_counts(self) -> None:
-        """Note how many servers healthy zones have; while another is not healthy, the count only grows."""
+        """Update the server counts of healthy zones; while another zone is not healthy, the counts only grow."""
         for zone in self.zones.values():
             if zone.health.state is not ZoneState.HEALTHY:
                 continue
@@ -114,17 +116,17 @@
                 zone.servers_when_healthy = zone.servers
 
     def on_attempt_sent(self, now: float, server: str) -> None:
-        """A part was sent to a server."""
+        """Record that a part was sent to a server."""
         self.advance(now)
         name = self.zone_of_server.get(server)
         if name is not None:
             self.zone(name).on_sent(self.now)
 
     def on_attempt_ended(self, now: float, server: str, outcome: Outcome, seconds: float) -> None:
-        """An attempt ended after so long.
+        """Record that an attempt at a server ended after `seconds`.
 
-        A cancelled attempt, or one that timed out, counts as lost only at a server that served nothing since it was
-        sent: another is merely slow.
+        A cancelled or timed-out attempt counts as lost only if its server has served nothing since the attempt was
+        sent. A server that has served something is merely slow.
         """
         self.advance(now)
         name = self.zone_of_server.get(server)
@@ -132,21 +134,21 @@
             return
         zone = self.zone(name)
         if zone.health.state is ZoneState.UNAVAILABLE:
-            zone.health.warm_capacity = self.warm_up.capacity(self.now, zone.starts)
-        served_meanwhile = self._activity.served_since(server, self.now - seconds)
+            zone.health.warm_capacity = self.warm_up.capacity(self.now, zone.start_times)
+        served_since_sent = self._activity.served_since(server, self.now - seconds)
         if outcome is Outcome.SERVED:
             self._activity.record_served(self.now, server, seconds)
             zone.health.on_part_ended(self.now, server, True, zone.servers)
             zone.overload.record(self.now, False, zone.sent)
-        elif outcome is Outcome.REJECTED or (outcome is Outcome.TIMED_OUT and served_meanwhile):
+        elif outcome is Outcome.REJECTED or (outcome is Outcome.TIMED_OUT and served_since_sent):
             zone.overload.record(self.now, True, zone.sent)
-        elif self._activity.is_lost(outcome, seconds, served_meanwhile):
+        elif self._activity.is_lost(outcome, seconds, served_since_sent):
             zone.health.on_part_ended(self.now, server, False, zone.servers)
         if zone.health.state is not zone.reported_state:
             self.record_changes()
 
     def on_health_check(self, now: float, server: str, seconds: float, served: bool) -> None:
-        """A health check ended: how far the zone is. It says nothing of its health."""
+        """Update the round trip to a server's zone from a health check, which does not affect the zone's health."""
         self.advance(now)
         name = self.zone_of_server.get(server)
         if name is not None and served:
@@ -154,7 +156,7 @@
             self.tiers.update()
 
     def advance(self, now: float) -> None:
-        """Let time pass; invariant 5. A jump ahead is one long step without events."""
+        """Advance the time; invariant 5. A forward jump of the clock counts as one long step without events."""
         if now <= self.now:
             return
         self.now = now
@@ -170,7 +172,7 @@
                 zone.baseline.pause()
 
     def record_changes(self) -> None:
-        """Record the zones whose state is not the reported one."""
+        """Record the zones whose state differs from the last one recorded."""
         for name, zone in self.zones.items():
             if zone.health.state is not zone.reported_state:
                 self._record_change(name, zone)
@@ -194,7 +196,7 @@
         zone.reported_state = health.state
 
     def take_changes(self) -> list[ZoneStateChange]:
-        """The state changes since the last call."""
+        """Return the state changes since the last call."""
         changes, self.changes = self.changes, []
         return changes
 
@@ -203,17 +205,17 @@
     def narrow(
         self, now: float, entries: Sequence[ServerEntry], safe: bool, owed: bool = False
     ) -> list[int]:
-        """The places of the candidates that may be chosen; none where nothing may be sent.
+        """Return the indices of the candidates that may be chosen; empty if the part may not be sent anywhere.
 
         Args:
             now: Time in seconds.
             entries: The candidates.
-            safe: Whether the part is safe to repeat, so that it is fit for a trial.
-            owed: Whether work was done for its query already, so that it is not shed where a zone is healthy.
+            safe: Whether the part is safe to repeat; only such parts are used for trials.
+            owed: Whether work was already done for the part's query; such a part is not shed if a zone is healthy.
         """
         self.advance(now)
         if self.limits.all_healthy:
-            return self.tiers.best_places(entries)
+            return self.tiers.best_indices(entries)
         is_open: dict[str, bool] = {}
         for entry in entries:
             name = entry.zone
@@ -223,43 +225,44 @@
             if health.state is ZoneState.UNAVAILABLE:
                 is_open[name] = False
                 if safe and not owed and health.take_trial(self.now):
-                    return [place for place, each in enumerate(entries) if each.zone == name]
+                    return [index for index, each in enumerate(entries) if each.zone == name]
             else:
-                # A recovering zone with capacity is offered beside the healthy ones, not before them: its servers are
-                # cold, and the module sees by their counts and means which part is better off elsewhere.
-                keeps_open = owed and health.state is ZoneState.HEALTHY
-                is_open[name] = keeps_open or self.limits.has_capacity(self.now, name)
+                # A recovering zone with capacity is offered together with the healthy zones, not ahead of them: its
+                # servers are cold, and the decision module compares their counts in flight and mean times with those
+                # of the other servers.
+                ignores_limit = owed and health.state is ZoneState.HEALTHY
+                is_open[name] = ignores_limit or self.limits.has_capacity(self.now, name)
         if self._are_last_replicas(is_open):
             is_open = {name: self.limits.has_capacity(self.now, name) for name in is_open}
-        places = self.tiers.best_places(entries, is_open)
-        self._expect(entries, places)
-        return places
+        indices = self.tiers.best_indices(entries, is_open)
+        self._count_tentatively(entries, indices)
+        return indices
 
     def _are_last_replicas(self, is_open: Mapping[str, bool]) -> bool:
-        """Whether all candidates are in unavailable zones."""
+        """Return whether all candidates are in unavailable zones."""
         if any(is_open.values()):
             return False
         return all(self.zone(name).health.state is ZoneState.UNAVAILABLE for name in is_open)
 
-    def _expect(self, entries: Sequence[ServerEntry], places: list[int]) -> None:
-        """Count one part against the zones that it may go to, until the turn ends."""
-        names = {entries[place].zone for place in places}
+    def _count_tentatively(self, entries: Sequence[ServerEntry], indices: list[int]) -> None:
+        """Count one part, in equal shares, against the zones that it may go to, until `end_turn`."""
+        names = {entries[index].zone for index in indices}
         for name in names:
-            self.zone(name).tentative += 1 / len(names)
+            self.zone(name).tentative_parts += 1 / len(names)
 
     def end_turn(self) -> None:
-        """The decision module's turn is over: what it placed came by `on_attempt_sent`."""
+        """End the decision module's turn: clear the tentative counts, as `on_attempt_sent` has counted its parts."""
         for zone in self.zones.values():
-            zone.tentative = 0.0
+            zone.tentative_parts = 0.0
 
     def admit(self, now: float, priority: float, parts: int, over_quota: bool) -> float | None:
-        """Whether a query is admitted: None, or the seconds after which a shed one may return.
+        """Return None if a query is admitted; if it is shed, the seconds after which the client may retry.
 
         Args:
             now: Time in seconds.
-            priority: Its priority weight for a part.
-            parts: How many it has.
-            over_quota: Whether its tenant asks for more than its quota.
+            priority: The query's priority weight per part.
+            parts: The query's number of parts.
+            over_quota: Whether the query's tenant exceeds its quota.
         """
         self.advance(now)
         self.demand.record(self.now, parts)
@@ -271,7 +274,7 @@
     # --- operators
 
     def views(self, now: float) -> list[ZoneView]:
-        """All zones, by name."""
+        """Return a view of each zone, sorted by name."""
         self.advance(now)
         return [self._view(name, zone) for name, zone in sorted(self.zones.items())]
 
--- a/stepknot/zones/health.py
+++ b/stepknot/zones/health.py
@@ -1,8 +1,8 @@
-"""The state of one zone: healthy, unavailable or recovering, by the outcomes of parts sent there.
+"""The state of one zone, healthy, unavailable or recovering, as derived from the outcomes of parts sent there.
 
-A zone is unavailable when nearly all parts fail over several servers, or when no live server of it is listed. Health
-checks say nothing for it: a zone may answer those and no queries. It recovers once a part is served again; each step
-that succeeds lets more of its baseline come back, and a relapse makes the next recovery slower.
+A zone becomes unavailable when nearly all parts fail at several servers, or when none of its live servers is listed.
+Health checks are not considered, because a zone may answer those but no queries. A zone starts to recover once a part
+is served again. Each successful step gives it more of its baseline; a relapse makes the next recovery slower.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class ZoneHealth:
-    """State, evidence, trials and ramp of one zone."""
+    """Holds the state, evidence, trial schedule and recovery ramp of one zone."""
 
     __slots__ = (
         "_settings",
@@ -33,11 +33,10 @@
     def __init__(self, settings: FailoverSettings, rng: random.Random) -> None:
         self._settings = settings
         self.state = ZoneState.HEALTHY
-        self.since = 0.0  # when the state began, or a relapse was forgotten
-        self.reason = "nothing was seen yet"
-        self.warm_capacity = (
-            1.0  # fraction of its work that the zone's servers can do, by their starts
-        )
+        self.since = 0.0  # time at which the state began, or the last relapse was removed from the count
+        self.reason = "initial state: no part has failed yet"
+        # Fraction of their full capacity that the zone's servers have, according to their start times.
+        self.warm_capacity = 1.0
         self.evidence = FailureEvidence()
         self.ramp = RecoveryRamp(settings)
         self.trials = TrialSchedule(settings, rng)
@@ -45,12 +44,12 @@
     # --- events
 
     def on_part_ended(self, now: float, server: str, served: bool, servers: int) -> None:
-        """A part sent there was served or lost; `servers`: how many the zone has."""
+        """Record that a part sent to the zone was served or lost; the zone has `servers` live servers."""
         self.ramp.record(served)
         if served:
             self.evidence.record_served(now, server)
             if self.state is ZoneState.UNAVAILABLE:
-                self.start_recovery(now, "a trial was served")
+                self.start_recovery(now, "the zone served a trial part")
             return
         self.evidence.record_failed(now, server)
         if self.state is not ZoneState.UNAVAILABLE and self.evidence.indicates_loss(now, servers):
@@ -58,50 +57,50 @@
 
     def _describe_loss(self, now: float) -> str:
         if self.state is ZoneState.RECOVERING:
-            return "it failed again on its way back"
+            return "parts failed again while the zone was recovering"
         failing, servers = self.evidence.failing_fraction(now), self.evidence.failing_servers
         return f"{failing:.0%} of parts failed at {servers} boxes"
 
     def on_delisted(self, now: float) -> None:
-        """The endpoint list names no live server of it any more."""
+        """Mark the zone as unavailable: the endpoint list no longer names any live server of it."""
         if self.state is not ZoneState.UNAVAILABLE:
             self.mark_unavailable(now, "the list names no live box of it")
 
     def on_listed(self, now: float) -> None:
-        """The endpoint list names live servers again after it named none."""
+        """Make the next trial due at once: the endpoint list names live servers again after it named none."""
         if self.state is ZoneState.UNAVAILABLE:
             self.trials.expedite(now)
 
     def advance(self, now: float) -> None:
-        """Let a recovering zone's step end, and forget a relapse that is long ago."""
+        """End a recovering zone's step when it is due; reduce the relapses of a zone that has stayed healthy."""
         if self.state is ZoneState.RECOVERING:
             if now >= self.ramp.step_end:
                 self._end_step(now)
-        elif self.ramp.relapses and self._is_calm(now):
+        elif self.ramp.relapses and self._has_stayed_healthy(now):
             self.ramp.relapses -= 1
             self.since = now
 
-    def _is_calm(self, now: float) -> bool:
-        """Whether the zone has been healthy for so long that a relapse is forgotten."""
+    def _has_stayed_healthy(self, now: float) -> bool:
+        """Return whether the zone has been healthy for the `calm` time, after which one relapse stops counting."""
         return self.state is ZoneState.HEALTHY and now - self.since >= self._settings.calm
 
     def take_trial(self, now: float) -> bool:
-        """Whether a part may go to an unavailable zone as a trial now; if so, the trial counts as taken."""
+        """Return whether a part may go to an unavailable zone as a trial now; if so, the trial counts as used."""
         return self.state is ZoneState.UNAVAILABLE and self.trials.take(now)
 
     # --- transitions
 
     def mark_unavailable(self, now: float, reason: str) -> None:
-        """The zone is lost; a relapse if it was not healthy for long."""
-        was_calm = self.since <= 0 or now - self.since >= self._settings.calm
-        if self.state is not ZoneState.HEALTHY or not was_calm:
+        """Mark the zone as unavailable. This counts as a relapse if the zone was not healthy for the `calm` time."""
+        was_stable = self.since <= 0 or now - self.since >= self._settings.calm
+        if self.state is not ZoneState.HEALTHY or not was_stable:
             self.ramp.relapses += 1
         self._enter(ZoneState.UNAVAILABLE, now, reason)
         self.ramp.stop()
         self.trials.start(now)
 
     def start_recovery(self, now: float, reason: str) -> None:
-        """The zone serves again."""
+        """Start the recovery of a zone that serves parts again."""
         self._enter(ZoneState.RECOVERING, now, reason)
         self.ramp.start(now, self.warm_capacity)
         self.evidence.reset(now)
@@ -109,7 +108,7 @@
     def _end_step(self, now: float) -> None:
         self.reason = self.ramp.end_step(now) or self.reason
         if self.ramp.is_complete():
-            self._enter(ZoneState.HEALTHY, now, "all of what it had is back")
+            self._enter(ZoneState.HEALTHY, now, "the zone gets its full baseline again")
 
     def _enter(self, state: ZoneState, now: float, reason: str) -> None:
         self.state = state
--- a/stepknot/zones/model.py
+++ b/stepknot/zones/model.py
@@ -1,4 +1,4 @@
-"""States of a zone, and what the decisions about zones say to logs, operators and metrics."""
+"""The states of a zone, and the records that zone failover provides to logs, operators and metrics."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
     """A zone as seen from this broker; the values are in admin answers and log events."""
 
     HEALTHY = "sound"
-    UNAVAILABLE = "dark"  # nothing of what is sent there comes back: trials only
-    RECOVERING = "returning"  # it answers again: load comes back step by step
+    UNAVAILABLE = "dark"  # nearly all parts sent there fail: it gets trials, and parts with no other replica
+    RECOVERING = "returning"  # it answers again: its load is raised step by step
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneEvidence:
-    """What a change of state was decided by; fields as in the log event."""
+    """The measurements behind a change of state; the fields are those of the log event."""
 
-    failing_fraction: float  # of parts
-    samples: float  # parts behind that, decayed
-    servers: float  # live
+    failing_fraction: float  # fraction of parts that failed
+    samples: float  # decayed number of parts that `failing_fraction` is based on
+    servers: float  # live servers
     relapses: float
-    recovery_fraction: float  # of its baseline that a recovering zone may get
+    recovery_fraction: float  # fraction of its baseline that a recovering zone may get
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,16 +51,19 @@
         "reason": "why",
     },
 ):
-    """One zone for operators and metrics; rates in parts a second. The keys of the admin answer are in `rename`."""
+    """One zone as shown to operators and metrics, with rates in parts per second.
+
+    The keys of the admin answer are in `rename`.
+    """
 
     zone: str
     state: ZoneState
     tier: int
     servers: int
-    rate: float  # sent there now
-    baseline_rate: float  # sent there while all zones were healthy
-    allowed_rate: float  # what it may get now; infinite where no limit is in force
-    recovery_fraction: float  # of its baseline that it may get back
-    failing_fraction: float  # of parts
-    relapses: int  # that are not forgotten
-    reason: str  # of the state
+    rate: float  # parts sent to the zone now
+    baseline_rate: float  # parts sent to the zone while all zones were healthy
+    allowed_rate: float  # maximum rate now; infinite if no limit applies
+    recovery_fraction: float  # fraction of its baseline that the zone may get
+    failing_fraction: float  # fraction of parts that failed
+    relapses: int  # relapses that still count
+    reason: str  # reason for the state
--- a/stepknot/zones/recovery.py
+++ b/stepknot/zones/recovery.py
@@ -1,57 +1,57 @@
-"""The recovery ramp: the fraction of its baseline that a recovering zone gets, step by step."""
+"""The recovery ramp: raises the fraction of its baseline that a recovering zone gets, step by step."""
 
 from __future__ import annotations
 
 from stepknot.zones.settings import FailoverSettings
 
-WARM_FRACTION = 0.5  # of what its servers can do, with which a zone begins
-FAILED_STEP_FRACTION = 0.3  # of a step's parts failed: the step has failed
-MIN_STEP_PARTS = 3  # served parts without which a step does not count
-RELAPSE_FACTOR = (
-    2.0  # a relapse makes steps this many times longer, and the first one this many times smaller
-)
+INITIAL_CAPACITY_FRACTION = 0.5  # fraction of its servers' capacity with which a zone's recovery begins
+FAILED_STEP_FRACTION = 0.3  # a step has failed if at least this fraction of its parts failed
+MIN_STEP_PARTS = 3  # minimum number of served parts for a step to succeed
+# Each relapse makes the steps longer, and the fraction with which a recovery begins smaller, by this factor.
+RELAPSE_FACTOR = 2.0
 
 
 class RecoveryRamp:
-    """The ramp of one zone; invariant 2."""
+    """Computes the recovery ramp of one zone; invariant 2."""
 
     __slots__ = ("_settings", "_step_failed", "_step_served", "fraction", "relapses", "step_end")
 
     def __init__(self, settings: FailoverSettings) -> None:
         self._settings = settings
-        self.fraction = 1.0  # of the baseline
-        self.relapses = 0  # that are not forgotten
+        self.fraction = 1.0  # fraction of the baseline that the zone may get
+        self.relapses = 0  # relapses that still count
         self.step_end = 0.0
         self._step_served = 0
         self._step_failed = 0
 
     def step_seconds(self) -> float:
-        """The length of a step: longer after each relapse, up to a bound."""
+        """Return the length of a step in seconds, which grows with each relapse up to a maximum."""
         factor = min(RELAPSE_FACTOR**self.relapses, self._settings.most_steps)
         return self._settings.step * float(factor)
 
     def start(self, now: float, capacity: float) -> None:
-        """Begin the ramp of a zone whose servers can do this fraction of their work.
+        """Begin the ramp of a zone whose servers have the fraction `capacity` of their full capacity.
 
-        Half of that: warm servers behind a link that was cut need no warm-up. Less after each relapse.
+        The ramp begins at half of that fraction, and lower after each relapse. Warm servers that were only cut off by
+        the network need no warm-up, so they begin high.
         """
-        first = WARM_FRACTION * capacity / RELAPSE_FACTOR**self.relapses
-        self.fraction = max(self._settings.first, first)
+        initial_fraction = INITIAL_CAPACITY_FRACTION * capacity / RELAPSE_FACTOR**self.relapses
+        self.fraction = max(self._settings.first, initial_fraction)
         self._begin_step(now)
 
     def stop(self) -> None:
-        """The zone is unavailable."""
+        """Set the fraction to 0, as the zone is unavailable."""
         self.fraction = 0.0
 
     def record(self, served: bool) -> None:
-        """A part of the zone was served or lost."""
+        """Count a part that the zone served or lost in the current step."""
         if served:
             self._step_served += 1
         else:
             self._step_failed += 1
 
     def end_step(self, now: float) -> str:
-        """Judge the step that ended, and begin the next; returns why the ramp changed, "" where it did not."""
+        """Evaluate the step that ended and begin the next; return why the ramp changed, or "" if it did not."""
         total = self._step_served + self._step_failed
         reason = ""
         if total and self._step_failed >= FAILED_STEP_FRACTION * total:
@@ -65,7 +65,7 @@
         return reason
 
     def is_complete(self) -> bool:
-        """Whether the zone may get all of its baseline."""
+        """Return whether the zone may get its full baseline."""
         return self.fraction >= 1.0
 
     def _begin_step(self, now: float) -> None:
--- a/stepknot/zones/shedding.py
+++ b/stepknot/zones/shedding.py
@@ -1,4 +1,4 @@
-"""Sheds queries that fit nowhere: by priority for a part, with Retry-After spread over time."""
+"""Sheds queries that exceed the capacity of all zones, by priority per part, with Retry-After spread over time."""
 
 from __future__ import annotations
 
@@ -8,29 +8,27 @@
 from dataclasses import dataclass, field
 
 from stepknot.zones.decay import DecayingRate
-from stepknot.zones.demand import DEMAND_MEMORY
+from stepknot.zones.demand import DEMAND_TIME_CONSTANT
 from stepknot.zones.limits import ZoneLimits
 from stepknot.zones.model import ZoneState
 from stepknot.zones.zone import Zone
 
-MIN_LEVEL_FRACTION = 0.05  # of the capacity, for each priority level: none is shut out
-OVER_QUOTA_WEIGHT = 0.5  # of its priority counts for a query of a tenant over its quota
-RETRY_AFTER = (
-    0.5,
-    2.0,
-)  # seconds: shed clients are spread over this, more widely the longer the recovery
-LEVELS_PER_DOUBLING = 2  # of the priority: few levels, whatever the number of parts
+MIN_LEVEL_FRACTION = 0.05  # fraction of the capacity guaranteed to each priority level, so that none is shut out
+OVER_QUOTA_WEIGHT = 0.5  # factor applied to the priority of a query whose tenant is over its quota
+# Range of Retry-After in seconds, over which shed clients are spread; its upper end grows with the steps of recovery.
+RETRY_AFTER_RANGE = (0.5, 2.0)
+LEVELS_PER_DOUBLING = 2  # priority levels per doubling of the priority, which keeps the number of levels small
 MIN_PRIORITY = 1e-9
-MIN_RATE = 1e-9  # parts a second
-ROUNDING = 1e-9  # by which a credit may miss 1
+MIN_RATE = 1e-9  # parts per second
+ROUNDING_TOLERANCE = 1e-9  # maximum rounding error by which a full credit may be below 1
 
 
 @dataclass(slots=True)
 class PriorityLevel:
-    """Queries of one priority for a part."""
+    """Demand and admission credit of the queries with one priority per part."""
 
-    demand: DecayingRate = field(default_factory=lambda: DecayingRate(DEMAND_MEMORY))  # parts
-    credit: float = 0.0  # of the next query; at 1 it is admitted
+    demand: DecayingRate = field(default_factory=lambda: DecayingRate(DEMAND_TIME_CONSTANT))  # in parts
+    credit: float = 0.0  # grows with each query; the query that brings it to 1 is admitted
 
 
 class PriorityShedder:
@@ -45,7 +43,7 @@
         self.shed_parts = 0.0
 
     def record(self, now: float, priority: float, parts: int, over_quota: bool) -> float:
-        """Count a query's parts for its priority level; returns the level."""
+        """Count a query's parts for its priority level; return the level's key."""
         weighted = max(priority * (OVER_QUOTA_WEIGHT if over_quota else 1.0), MIN_PRIORITY)
         key: float = 2 ** (round(LEVELS_PER_DOUBLING * math.log2(weighted)) / LEVELS_PER_DOUBLING)
         level = self._levels.get(key)
@@ -55,17 +53,20 @@
         return key
 
     def admits(self, now: float, key: float, parts: int) -> bool:
-        """Whether a query of this level goes on: of each level the fraction that fits, evenly spread."""
+        """Return whether a query of this level is admitted; the admitted fraction is spread evenly over the level."""
         level = self._levels[key]
         level.credit = min(level.credit + self._admitted_fraction(now, key), 1.0)
-        if level.credit >= 1.0 - ROUNDING:
+        if level.credit >= 1.0 - ROUNDING_TOLERANCE:
             level.credit -= 1.0
             return True
         self.shed_parts += parts
         return False
 
     def _admitted_fraction(self, now: float, key: float) -> float:
-        """Fraction of the level's queries that fits: higher levels come first, none is shut out."""
+        """Return the fraction of the level's queries for which there is capacity, after all higher levels are served.
+
+        Each level gets at least its minimum fraction of the capacity.
+        """
         rates = {each: level.demand.rate_at(now) for each, level in self._levels.items()}
         capacity = self._limits.total_capacity(now)
         if sum(rates.values()) <= capacity:
@@ -76,12 +77,12 @@
                 break
             remaining -= rates[each]
         rate = max(rates[key], MIN_RATE)
-        fits = max(0.0, min(1.0, remaining / rate))
-        return max(fits, min(1.0, MIN_LEVEL_FRACTION * capacity / rate))
+        by_priority = max(0.0, min(1.0, remaining / rate))
+        return max(by_priority, min(1.0, MIN_LEVEL_FRACTION * capacity / rate))
 
     def retry_after(self, zones: Iterable[Zone]) -> float:
-        """Seconds, spread so that those shed together do not come back together."""
-        shortest, longest = RETRY_AFTER
+        """Return a random Retry-After in seconds, so that clients shed together do not all retry together."""
+        shortest, longest = RETRY_AFTER_RANGE
         steps = (
             zone.health.ramp.step_seconds()
             for zone in zones
--- a/stepknot/zones/spill_over.py
+++ b/stepknot/zones/spill_over.py
@@ -1,9 +1,10 @@
-"""How much one zone may get while another is not healthy: baseline, overload limit and token bucket.
+"""The parts that one zone may get while another is not healthy: baseline, overload limit and token bucket.
 
-A zone's baseline is this broker's own history of sending there while all zones were healthy. Every broker is limited to
-a multiple of its own history, so the sum over brokers is limited to the same multiple of the sum, whatever each one's
-load: no agreement is needed. A broker without history (just restarted) takes the zone's fraction of the servers times
-the demand now: what it would have sent there, if all were healthy.
+A zone's baseline is the rate at which this broker sent parts there while all zones were healthy. Every broker is
+limited to a multiple of its own baseline, so the sum over all brokers is limited to the same multiple of the sum of
+their baselines, however the load is distributed; brokers need not coordinate. A broker without history (after a
+restart) uses the current demand times the zone's fraction of all servers, which is what it would send there if all
+zones were healthy.
 """
 
 from __future__ import annotations
@@ -12,24 +13,27 @@
 
 from stepknot.zones.decay import DecayingRate
 
-BURST_SECONDS = 2.0  # of its rate that a bucket holds
-MIN_BURST_QUERIES = 2.0  # largest queries that it holds at least: queries come in lumps, most where a broker has few
+BURST_SECONDS = 2.0  # a bucket holds the parts that its rate allows in this time
+# A bucket holds at least this many queries of the largest size, as the parts of a query arrive together. This matters
+# most for a broker with few queries.
+MIN_BURST_QUERIES = 2.0
 
-# A zone that rejects, or answers too late, more than this fraction of at least this many parts is seen to bear no more
-# than it gets: it gets a tenth less, and then a fraction of its limit more each second. Single rejections say nothing.
+# A zone counts as overloaded if it rejects, or answers too late, more than OVERLOAD_FRACTION of its parts, of which
+# there are at least MIN_OVERLOAD_SAMPLES; a few rejections are no evidence. Its limit then becomes OVERLOAD_BACKOFF
+# times its current rate, and grows again each second by OVERLOAD_RECOVERY times its spill-over limit.
 OVERLOAD_FRACTION = 0.2
 MIN_OVERLOAD_SAMPLES = 20.0
 OVERLOAD_BACKOFF = 0.9
 OVERLOAD_RECOVERY = 0.1
-BACKOFF_INTERVAL = 1.0  # seconds: what was done must show first
+BACKOFF_INTERVAL = 1.0  # seconds between two reductions, so that the first can take effect
 OVERLOAD_HALF_LIFE = 1.0  # seconds
 
-STANDARD_ERRORS = 2.0  # that are allowed on top of a baseline
-MIN_HISTORY = 5.0  # seconds of history without which the guess from the servers' fraction stands in
+STANDARD_ERRORS = 2.0  # number of standard errors added to a baseline
+MIN_HISTORY = 5.0  # seconds; a shorter history is combined with the estimate from the zone's fraction of the servers
 
 
 class TrafficBaseline:
-    """Parts a second that were sent to a zone while all zones were healthy."""
+    """Averages the parts per second that were sent to a zone while all zones were healthy."""
 
     __slots__ = ("_observed_at", "_observed_seconds", "_rate", "_window")
 
@@ -40,49 +44,53 @@
         self._observed_at: float | None = None
 
     def observe(self, now: float, sent: DecayingRate) -> None:
-        """All zones are healthy: what is sent now is what the zone has. Called whenever time advances then."""
+        """Update the average with the current rate; called whenever time advances while all zones are healthy."""
         if self._observed_at is not None:
             passed = min(max(now - self._observed_at, 0.0), self._window)
             weight = 1 - math.exp(-passed / self._window)
-            if self._observed_seconds < self._window:  # a short history is a plain mean
+            # While the history is shorter than the window, the average is the plain mean.
+            if self._observed_seconds < self._window:
                 weight = max(weight, passed / max(self._observed_seconds + passed, 1e-9))
             self._rate += weight * (sent.rate_at(now) - self._rate)
             self._observed_seconds += passed
         self._observed_at = now
 
     def pause(self) -> None:
-        """Some zone is not healthy: what is sent meanwhile is no measure."""
+        """Stop observing: while any zone is not healthy, the rate is not representative."""
         self._observed_at = None
 
-    def rate(self, guess: float) -> float:
-        """The baseline; a young history is filled in from the guess."""
-        trust = min(1.0, self._observed_seconds / MIN_HISTORY)
-        return trust * self._rate + (1 - trust) * guess
+    def rate(self, estimate: float) -> float:
+        """Return the baseline; a history shorter than the minimum is combined with the estimate."""
+        weight = min(1.0, self._observed_seconds / MIN_HISTORY)
+        return weight * self._rate + (1 - weight) * estimate
 
     def uncertainty(self, rate: float, largest_query: float) -> float:
-        """Parts a second by which a baseline may be too low: parts come in queries, and few queries say little."""
+        """Return the parts per second by which a baseline may be too low.
+
+        The parts of a query arrive together, so a baseline from few queries has a large standard error.
+        """
         seconds = min(max(self._observed_seconds, MIN_HISTORY), self._window)
         return STANDARD_ERRORS * math.sqrt(rate * max(largest_query, 1.0) / seconds)
 
 
 class OverloadLimit:
-    """The rate that a zone is seen to bear, by parts that it rejects or answers too late."""
+    """Estimates the rate that a zone can serve from the parts that it rejects or answers too late."""
 
     __slots__ = ("_ended", "_limit", "_limited_at", "_overloaded", "_updated_at")
 
     def __init__(self) -> None:
-        self._limit = math.inf  # parts a second, as of `_limited_at`
+        self._limit = math.inf  # parts per second, as of `_limited_at`
         self._limited_at = -math.inf
-        self._ended = 0.0  # parts, decayed
-        self._overloaded = 0.0  # of them, decayed
+        self._ended = 0.0  # decayed number of parts
+        self._overloaded = 0.0  # decayed number of parts that were rejected or too late
         self._updated_at = 0.0
 
     def record(self, now: float, overloaded: bool, sent: DecayingRate) -> None:
-        """A part ended: served, or rejected or too late at a server that is alive."""
+        """Record a part that a live server served or, with `overloaded`, rejected or answered too late."""
         if now != self._updated_at:
-            kept = math.exp2(min(0.0, (self._updated_at - now) / OVERLOAD_HALF_LIFE))
-            self._ended *= kept
-            self._overloaded *= kept
+            decay = math.exp2(min(0.0, (self._updated_at - now) / OVERLOAD_HALF_LIFE))
+            self._ended *= decay
+            self._overloaded *= decay
             self._updated_at = now
         self._ended += 1
         self._overloaded += overloaded
@@ -95,30 +103,30 @@
         return has_samples and self._overloaded > OVERLOAD_FRACTION * self._ended
 
     def reset(self) -> None:
-        """The zone's state changed: what it was seen to bear is of another time."""
+        """Remove the limit, because the estimate no longer applies after a change of the zone's state."""
         self._limit = math.inf
         self._ended = 0.0
         self._overloaded = 0.0
 
     def apply(self, now: float, limit: float, baseline: float) -> float:
-        """What the zone is seen to bear, up to `limit` and never less than its baseline."""
+        """Return the rate that the zone can serve by the estimate, at most `limit` and never below its baseline."""
         if self._limit == math.inf:
             return limit
-        regained = OVERLOAD_RECOVERY * limit * max(now - self._limited_at, 0.0)
-        return min(limit, max(self._limit + regained, baseline))
+        increase = OVERLOAD_RECOVERY * limit * max(now - self._limited_at, 0.0)
+        return min(limit, max(self._limit + increase, baseline))
 
 
 class TokenBucket:
-    """Parts that may be sent now."""
+    """Limits the parts that may be sent now; each sent part takes a token."""
 
     __slots__ = ("_filled_at", "tokens")
 
     def __init__(self) -> None:
         self.tokens = 0.0
-        self._filled_at: float | None = None  # None: it is full at the first call
+        self._filled_at: float | None = None  # None: the bucket is filled by the first call of `refill`
 
     def refill(self, now: float, rate: float, largest_query: float) -> float:
-        """Fill at `rate` parts a second since the last call; returns the tokens."""
+        """Add `rate` tokens per second since the last call; return the number of tokens."""
         capacity = max(rate * BURST_SECONDS, MIN_BURST_QUERIES * largest_query)
         if self._filled_at is None:
             self.tokens = capacity
@@ -128,6 +136,6 @@
         return self.tokens
 
     def reset(self, now: float) -> None:
-        """Begin without a burst in hand."""
+        """Start again with a single token, so that no burst is possible at first."""
         self.tokens = 1.0
         self._filled_at = now
--- a/tests/zones/test_sockets.py
+++ b/tests/zones/test_sockets.py
@@ -1,4 +1,4 @@
-"""A zone lost and back on real processes: it flaps, answers health checks but no parts, drains while it recovers."""
+"""Zone failover with real processes: zones flap, answer health checks but no parts, or drain during a recovery."""
 
 from __future__ import annotations
 
@@ -31,8 +31,11 @@
 
 @pytest.fixture(scope="module")
 def hard(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """Three zones. Half of one; one cut off from two brokers for different times; one slow; one lost that returns into
-    a burst and impatient clients, with a stall, a drain and a crash elsewhere on its way back; all lost, then back.
+    """Run a script of combined faults in three zones.
+
+    In order: half of a zone is lost; a zone is cut off from two brokers for different times; a zone is slow; a zone is
+    lost and recovers during a burst with impatient clients, while a broker stalls, one server drains and another
+    crashes in the other zones; all zones are lost and recover.
     """
     folder: Path = tmp_path_factory.mktemp("hard")
     steps = (
@@ -73,29 +76,28 @@
     assert [report.breaches for report in reports] == [[]] * 6
 
 
-def good_share(folder: Path, since: float, until: float) -> float:
-    """Of the final answers in this span of the day, those that are neither rejected nor failed."""
+def success_fraction(folder: Path, since: float, until: float) -> float:
+    """Return the fraction of the final answers in this span of the run that are neither rejected nor failed."""
     records = Records.load(folder)
-    begun = next(each["t"] for each in records.fleet if each["what"] == "begin")
-    late = next(
-        each["t"] - begun - 5.0 for each in records.fleet if each.get("do") == "deaf"
-    )  # on a slow machine
+    begin = next(each["t"] for each in records.fleet if each["what"] == "begin")
+    # On a slow machine the script runs late: its first "deaf" step is due 5 s after the beginning.
+    delay = next(each["t"] - begin - 5.0 for each in records.fleet if each.get("do") == "deaf")
     statuses = [
         each["status"]
         for each in records.client
-        if each["what"] == "answered" and since <= each["t"] - begun - late < until
+        if each["what"] == "answered" and since <= each["t"] - begin - delay < until
     ]
     assert len(statuses) > 10
     return sum(status in (200, 201) for status in statuses) / len(statuses)
 
 
 def test_zone_cut_off_from_brokers_for_different_times_costs_no_answers(hard: Path) -> None:
-    assert good_share(hard, 5.0, 10.0) >= 0.8
+    assert success_fraction(hard, 5.0, 10.0) >= 0.8
 
 
 @pytest.mark.parametrize("broker", [0, 1])
 def test_half_lost_zone_and_slow_zone_stay_available(hard: Path, broker: int) -> None:
-    """B only once all of it is gone; a, if at all, after that: when all are lost."""
+    """Zone b becomes unavailable only when all of its servers are lost; zone a only later, when all zones are lost."""
     lost = [each for each in changes(hard, broker) if each["new"] == "dark"]
     order = [each["zone"] for each in lost]
     assert (
@@ -106,7 +108,7 @@
 
 
 def test_service_is_back_soon_after_all_zones_were_lost(hard: Path) -> None:
-    assert good_share(hard, 28.0, 34.0) >= 0.5
+    assert success_fraction(hard, 28.0, 34.0) >= 0.5
 
 
 def changes(folder: Path, broker: int) -> list[dict[str, Any]]:
@@ -121,8 +123,8 @@
 def test_rules_hold_while_a_zone_flaps(folder: Path) -> None:
     reports = audit(Records.load(folder))
     assert [report.breaches for report in reports] == [[]] * 6
-    cold = reports[3]
-    assert cold.checks >= 8 and cold.nearest is not None and cold.nearest > 0.3
+    cold_start = reports[3]
+    assert cold_start.checks >= 8 and cold_start.nearest is not None and cold_start.nearest > 0.3
 
 
 @pytest.mark.parametrize("broker", [0, 1])
@@ -131,14 +133,14 @@
     assert seen[0] == ("sound", "dark") and ("dark", "returning") in seen
     assert sum(new == "dark" for _, new in seen) >= 2
     assert all(each["reason"] for each in changes(folder, broker))
-    again = [
+    second_loss = [
         each for each in changes(folder, broker) if each["zone"] == "b" and each["new"] == "dark"
     ][1]
-    assert again["relapses"] >= 1
+    assert second_loss["relapses"] >= 1
 
 
 def test_zone_that_answers_health_checks_and_no_parts_is_unavailable(folder: Path) -> None:
-    """For one of the brokers at the least: the other may send too little there in so short a time to tell."""
+    """At least one broker must see it; in this short time the other may send too few parts there to detect it."""
     seen = [
         (each["old"], each["new"])
         for broker in (0, 1)
