--- a/bench/planted_defects/admission.py
+++ b/bench/planted_defects/admission.py
@@ -1,4 +1,4 @@
-"""Planted defects of admission."""
+"""Planted defects in `stepknot/admission`."""
 
 from bench.planted_defects.defect import PlantedDefect
 
@@ -36,9 +36,11 @@
     ),
     PlantedDefect(
         path="stepknot/admission/connection_slots.py",
-        original="has_lead = self.by_address[address] >= own + MIN_EVICTION_LEAD",
-        replacement="has_lead = True",
-        tests=(f"{CONTROLLER}::test_newcomer_among_equal_addresses_evicts_nobody_and_is_rejected",),
+        original="has_more = self.by_address[address] >= own + MIN_EVICTION_DIFFERENCE",
+        replacement="has_more = True",
+        tests=(
+            f"{CONTROLLER}::test_new_connection_among_equal_addresses_evicts_none_and_is_rejected",
+        ),
         invariant="3",
     ),
     PlantedDefect(
@@ -46,7 +48,7 @@
         original="connection.queries += 1\n        self.slots.mark_busy(connection)",
         replacement="connection.queries += 1",
         tests=(
-            f"{CONTROLLER}::test_newcomer_evicts_the_longest_idle_connection_of_the_heaviest_address",
+            f"{CONTROLLER}::test_new_connection_evicts_the_longest_idle_one_of_the_heaviest_address",
         ),
         invariant="3",
     ),
@@ -66,7 +68,7 @@
         path="stepknot/admission/controller.py",
         original="if rate > max_rate:",
         replacement="if False:",
-        tests=(f"{CONTROLLER}::test_rate_is_rejected_and_forgotten_once_it_stops",),
+        tests=(f"{CONTROLLER}::test_excessive_rate_is_rejected_until_it_stops",),
         invariant="4",
     ),
     PlantedDefect(
--- a/bench/trace_packages/admission.py
+++ b/bench/trace_packages/admission.py
@@ -1,4 +1,4 @@
-"""Seeded runs of admission: arrivals, keys, queries, held bytes, ends, bans, limits that change, parsed headers."""
+"""Seeded runs of admission: connections, keys, queries, reserved bytes, bans, limits that change, parsed headers."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     """Play all runs."""
     for seed in SEEDS:
         _Run(trace, seed).play()
-    _record_heavy(trace)
+    _record_heavy_hitters(trace)
     _record_parsers(trace)
     _record_lists(trace)
     _record_budgets(trace)
@@ -70,7 +70,7 @@
         self.admission = AdmissionController(settings, 40, self.lists)
         self.now, self.number = 1000.0, 0
         self.connections: dict[int, bytes] = {}
-        self.turns: list[QuerySlot] = []
+        self.slots: list[QuerySlot] = []
         rng = self.rng
         self.pool = (
             [parse_address(f"10.0.{rng.randrange(3)}.{rng.randrange(6)}") for _ in range(12)]
@@ -80,7 +80,7 @@
         )
 
     def play(self) -> None:
-        """Take the steps, then end everything."""
+        """Play random steps, then close all connections and end all queries."""
         for step in range(STEPS):
             self.now += self.rng.choice([0.0, 0.0, 0.01, 0.1, 0.5, 3.0, -0.2])
             if step == STEPS // 2:
@@ -93,12 +93,12 @@
                 self.state()
         for number in list(self.connections):
             self.end(number)
-        for turn in list(self.turns):
-            self.answer(turn, True)
+        for slot in list(self.slots):
+            self.answer(slot, True)
         self.state()
 
     def step(self) -> None:
-        """One random event."""
+        """Play one random event."""
         rng, admission = self.rng, self.admission
         numbers = list(self.connections)
         match rng.randrange(14):
@@ -106,8 +106,8 @@
                 self.arrive(rng.choice(self.pool))
             case 3 | 4 | 5 if numbers:
                 self.query(rng.choice(numbers))
-            case 6 | 7 if self.turns:
-                self.answer(rng.choice(self.turns), rng.random() < 0.9)
+            case 6 | 7 if self.slots:
+                self.answer(rng.choice(self.slots), rng.random() < 0.9)
             case 8 if numbers:
                 self.end(rng.choice(numbers))
             case 9 if numbers:
@@ -122,9 +122,11 @@
                 admission.on_request_bytes(number)
             case 11 if numbers:
                 number = rng.choice(numbers)
-                guest = admission.connections[number]
-                if guest.bytes_reserved:
-                    admission.byte_budget.release(guest, rng.randrange(guest.bytes_reserved + 1))
+                connection = admission.connections[number]
+                if connection.bytes_reserved:
+                    admission.byte_budget.release(
+                        connection, rng.randrange(connection.bytes_reserved + 1)
+                    )
                 admission.on_idle(number)
             case 12:
                 self.change_lists()
@@ -132,14 +134,14 @@
                 self.proxy(rng.choice(self.pool))
 
     def arrive(self, address: bytes) -> None:
-        """A connection, seldom a burst of them."""
+        """Open a connection or, rarely, a burst of them."""
         for _ in range(self.rng.choice([1, 1, 1, 8])):
             self.number += 1
             self.connections[self.number] = address
             self.take(self.number, self.admission.on_connection(self.now, self.number, address))
 
     def proxy(self, address: bytes) -> None:
-        """A trusted proxy's connection, which is then for a client; or no descriptor for it."""
+        """Open a trusted proxy's connection that then mostly names its client, or report that descriptors ran out."""
         if self.rng.random() < 0.2:
             _add_verdict(self.trace, self.admission.on_descriptors_exhausted(self.now, address))
             return
@@ -154,43 +156,43 @@
             self.take(number, self.admission.on_proxied_address(self.now, number, address))
 
     def take(self, number: int, verdict: Verdict) -> None:
-        """Do what a broker does with a verdict."""
+        """Carry out a verdict as a broker does."""
         _add_verdict(self.trace, verdict)
-        for shed in verdict.evicted:
-            self.connections.pop(shed, None)
+        for evicted in verdict.evicted:
+            self.connections.pop(evicted, None)
         if verdict.placement is Placement.REJECTED:
             self.end(number)
 
     def end(self, number: int) -> None:
-        """The connection's end, told twice."""
+        """Report twice that a connection was closed."""
         self.connections.pop(number, None)
         self.admission.on_connection_closed(number)
         self.admission.on_connection_closed(number)
 
     def query(self, number: int) -> None:
-        """A query on a connection."""
+        """Send one or several queries on a connection."""
         rng, address = self.rng, self.connections[number]
         if rng.random() < 0.2:
             address = rng.choice(self.pool)
-        tenant, share = rng.choice(["", "a", "b"]), rng.choice([0.0, 0.1, 0.2])
+        tenant, quota = rng.choice(["", "a", "b"]), rng.choice([0.0, 0.1, 0.2])
         for _ in range(rng.choice([1, 1, 6])):
-            came = self.admission.admit_query(
-                self.now, number, address, tenant, share, rng.choice([0, 0, 1, 4])
+            result = self.admission.admit_query(
+                self.now, number, address, tenant, quota, rng.choice([0, 0, 1, 4])
             )
-            if isinstance(came, QuerySlot):
-                self.turns.append(came)
-                self.trace.add(came.connection, came.address, came.tenant, int(came.trust))
+            if isinstance(result, QuerySlot):
+                self.slots.append(result)
+                self.trace.add(result.connection, result.address, result.tenant, int(result.trust))
             else:
-                _add_verdict(self.trace, came)
+                _add_verdict(self.trace, result)
 
-    def answer(self, turn: QuerySlot, good: bool) -> None:
-        """The end of a query."""
-        self.turns.remove(turn)
-        self.admission.on_query_ended(self.now, turn, good)
-        self.admission.on_idle(turn.connection)
+    def answer(self, slot: QuerySlot, succeeded: bool) -> None:
+        """End a query."""
+        self.slots.remove(slot)
+        self.admission.on_query_ended(self.now, slot, succeeded)
+        self.admission.on_idle(slot.connection)
 
     def change_lists(self) -> None:
-        """A ban, an allowance, one taken back, ends, or bad conduct."""
+        """Add, remove or expire a ban or an allowance; with expiry, also penalize an address."""
         rng = self.rng
         network = rng.choice(["10.0.7.0/24", "10.0.0.0/24", "10.0.2.3/32"])
         kind = rng.choice([AccessList.BANNED, AccessList.ALLOWED])
@@ -204,13 +206,13 @@
                 self.admission.reputation.penalize(self.now, rng.choice(self.pool))
 
     def state(self) -> None:
-        """What operators see, and what the next decisions go by."""
+        """Add the state that operators see and on which further decisions depend."""
         admission, trace = self.admission, self.trace
-        for rank in TrustLevel:
+        for trust in TrustLevel:
             trace.add(
-                admission.slots.by_trust[rank],
-                admission.queries.by_trust[rank],
-                admission.slots.limit(rank),
+                admission.slots.by_trust[trust],
+                admission.queries.by_trust[trust],
+                admission.slots.limit(trust),
             )
         trace.add(len(admission.queue), admission.queries.taken)
         trace.add(
@@ -218,8 +220,8 @@
             admission.slots.idle_timeout(60.0),
             admission.slots.idle_timeout(0.5),
         )
-        for what, count in sorted(admission.decisions.items()):
-            trace.add(what, count)
+        for decision, count in sorted(admission.decisions.items()):
+            trace.add(decision, count)
         for address in self.pool:
             trace.add(int(admission.trust_level(self.now, address)))
         for key in admission.slots.by_address.descending():
@@ -235,16 +237,16 @@
     trace.add(verdict.placement.value, verdict.reason, verdict.retry_after, *verdict.evicted)
 
 
-def _record_heavy(trace: Trace) -> None:
-    rng, heavy, now = random.Random(5), HeavyHitters(20, 5.0), 50.0
+def _record_heavy_hitters(trace: Trace) -> None:
+    rng, counters, now = random.Random(5), HeavyHitters(20, 5.0), 50.0
     for step in range(4000):
         now += rng.choice([0.0, 0.01, 0.2, -0.1])
         key = b"k%d" % min(int(rng.expovariate(0.05)), 200)
-        heavy.add(now, key, rng.choice([1.0, 2.5]))
-        trace.add(heavy.lower_bound(now, key), heavy.rate(now, b"k1"))
+        counters.add(now, key, rng.choice([1.0, 2.5]))
+        trace.add(counters.lower_bound(now, key), counters.rate(now, b"k1"))
         if step == 3000:
             now += 1e6
-    for each in heavy.top(now, 20):
+    for each in counters.top(now, 20):
         trace.add(each.key, each.count, each.error)
 
 
@@ -267,13 +269,13 @@
         data = bytearray(rng.choice(heads))
         for _ in range(rng.choice([0, 0, 1, 2])):
             data[rng.randrange(len(data))] = rng.choice(b" 0129:.\r\nxP\x11\x21\xff")
-        cut = bytes(data[: rng.choice([len(data), len(data), rng.randrange(len(data) + 1)])])
+        received = bytes(data[: rng.choice([len(data), len(data), rng.randrange(len(data) + 1)])])
         try:
-            found = parse_proxy_header(cut)
+            header = parse_proxy_header(received)
         except ProxyHeaderError:
             trace.add("malformed")
             continue
-        trace.add(*(found if found is not None else ("more",)))
+        trace.add(*(header if header is not None else ("more",)))
     trusted = NetworkSet(["10.0.0.0/8", "fd00::/8"])
     hops = ["203.0.113.7", "10.0.0.2", "unknown", '"[2001:db8::1]:4711"', "1.1.1.1:80", "fd00::5"]
     for _ in range(2000):
@@ -305,12 +307,12 @@
 
 def _record_budgets(trace: Trace) -> None:
     for limit in (40, 51, 52, 64, 128, 256, 1024, 65536, 1_000_000):
-        for boxes in (0, 6, 500, 100_000):
-            for connections in (0, 10, 5000):
+        for servers in (0, 6, 500, 100_000):
+            for slots in (0, 10, 5000):
                 try:
-                    found = allocate_descriptors(limit, boxes, 128, connections)
+                    budget = allocate_descriptors(limit, servers, 128, slots)
                 except ValueError:
                     trace.add("too low")
                     continue
-                trace.add(found.limit, found.fixed, found.admin, found.waiting, found.servers)
-                trace.add(found.clients, found.total())
+                trace.add(budget.limit, budget.fixed, budget.admin, budget.waiting, budget.servers)
+                trace.add(budget.clients, budget.total())
--- a/stepknot/admission/__init__.py
+++ b/stepknot/admission/__init__.py
@@ -1,16 +1,17 @@
-"""Admission control: decisions on connections and queries under limits, free of I/O, clock and unseeded chance.
+"""Admission control: decides which connections and queries are admitted under limits.
 
-`controller.AdmissionController` decides; it composes one collaborator for each limited resource: connection slots,
-the waiting queue, query slots and the byte budget. State covers open connections and queries only, besides three
-tables of fixed size: rates and rejections (`heavy_hitters`) and reputation.
+The package does no I/O, callers pass the time, and nothing is random. `controller.AdmissionController` decides; it
+combines one class for each limited resource: connection slots, the waiting queue, query slots and the byte budget. It
+keeps state only for open connections and queries, and in three tables of fixed size: rates and rejections
+(`heavy_hitters`), and reputation.
 
-Invariants, held by tests and named by number in the planted defects:
+Invariants, checked by tests and referred to by number in the planted defects:
 
 1. Connection slots, waiting queue, queries in flight and reserved bytes never exceed their limits.
 2. Unknown clients never take a connection slot or a query slot of the reserve.
-3. An admitted query is never dropped: only idle connections are evicted, of the address with most of them the one
-   that is idle for longest.
-4. A client that is judged by a rate is judged by a lower bound of its own rate (`HeavyHitters.lower_bound`).
-5. Memory does not grow with the number of addresses seen: an address without a connection, a query or a place in a
-   table of fixed size leaves nothing behind.
+3. An admitted query is never dropped: only idle connections are evicted. The candidate is the longest idle connection
+   of the address with the most connections.
+4. A client is rejected for its rate only by a lower bound of its own rate (`HeavyHitters.lower_bound`).
+5. Memory does not grow with the number of addresses seen: no state is kept for an address without a connection, a
+   query or an entry in a table of fixed size.
 """
--- a/stepknot/admission/access_lists.py
+++ b/stepknot/admission/access_lists.py
@@ -1,4 +1,4 @@
-"""Bans and allowances that operators set, with their expiry, and their checksummed form on disk."""
+"""Bans and allowances set by operators, with their expiry, and their checksummed snapshot format."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from stepknot.admission.addresses import Address, NetworkSet, parse_network
 from stepknot.admission.errors import AccessListError, SnapshotDamagedError
 
-MAX_ENTRIES = 10_000  # of each list
+MAX_ENTRIES = 10_000  # maximum number of networks in each list
 FORMAT_VERSION = 1
 
 
@@ -21,11 +21,11 @@
 
 
 class AccessLists:
-    """The networks of both lists; expiry is in seconds of the wall clock, infinity for none."""
+    """Holds the networks of both lists; an expiry is in seconds of the wall clock, and infinite for no expiry."""
 
     def __init__(self) -> None:
         self._expiry: dict[AccessList, dict[str, float]] = {each: {} for each in AccessList}
-        # Rebuilt when an address is looked up after a change.
+        # Removed when the list changes and rebuilt by the next look-up of an address.
         self._networks: dict[AccessList, NetworkSet] = {}
 
     @property
@@ -42,35 +42,38 @@
         """Add a network, or change its expiry.
 
         Raises:
-            ValueError: `network` is no network.
+            ValueError: `network` is not a valid network.
             AccessListError: The list is full.
         """
         name = str(parse_network(network))
         entries = self._expiry[access_list]
         if len(entries) >= MAX_ENTRIES and name not in entries:
-            raise AccessListError(f"{MAX_ENTRIES} networks are {access_list.value} already")
+            raise AccessListError(
+                f"cannot add {name} to the list of {access_list.value} networks: "
+                f"it already has the maximum of {MAX_ENTRIES} entries"
+            )
         entries[name] = expires_at
         self._networks.pop(access_list, None)
 
     def remove(self, access_list: AccessList, network: str) -> bool:
-        """Remove a network; returns whether it was there.
+        """Remove a network; return whether it was in the list.
 
         Raises:
-            ValueError: `network` is no network.
+            ValueError: `network` is not a valid network.
         """
         removed = self._expiry[access_list].pop(str(parse_network(network)), None)
         self._networks.pop(access_list, None)
         return removed is not None
 
     def contains(self, access_list: AccessList, address: Address) -> bool:
-        """Whether an address is on a list; an expired entry counts until `remove_expired`, which gets the time."""
+        """Return whether an address is in a list; an expired entry counts until `remove_expired` removes it."""
         networks = self._networks.get(access_list)
         if networks is None:
             networks = self._networks[access_list] = NetworkSet(self._expiry[access_list])
         return address in networks
 
     def remove_expired(self, wall_time: float) -> list[str]:
-        """Remove the networks whose expiry has passed; returns them."""
+        """Remove the networks whose expiry has passed; return them."""
         removed = []
         for access_list, entries in self._expiry.items():
             expired = [name for name, expires_at in entries.items() if expires_at <= wall_time]
@@ -81,7 +84,7 @@
         return removed
 
     def dump(self) -> bytes:
-        """A snapshot: the SHA-256 of the second line, then a line of JSON."""
+        """Return a snapshot of two lines: the SHA-256 of the second line, and the lists as JSON."""
         body = json.dumps(
             {"version": FORMAT_VERSION, "banned": self.banned, "allowed": self.allowed},
             sort_keys=True,
@@ -90,7 +93,7 @@
 
     @classmethod
     def load(cls, data: bytes) -> AccessLists:
-        """Read a snapshot.
+        """Read the lists from a snapshot.
 
         Raises:
             SnapshotDamagedError: `data` is not a complete snapshot.
@@ -98,7 +101,10 @@
         checksum, _, body = data.partition(b"\n")
         body = body.removesuffix(b"\n")
         if _checksum(body).encode() != checksum:
-            raise SnapshotDamagedError("its checksum does not fit: it is damaged or cut short")
+            raise SnapshotDamagedError(
+                "the access list snapshot is damaged or truncated: "
+                "the checksum in its first line does not match its second line"
+            )
         lists = cls()
         try:
             content = json.loads(body)
@@ -106,7 +112,9 @@
                 for name, expires_at in content[access_list.value].items():
                     lists.add(access_list, name, float(expires_at))
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            raise SnapshotDamagedError(f"not a snapshot: {error}") from error
+            raise SnapshotDamagedError(
+                f"the access list snapshot has invalid content: {error}"
+            ) from error
         return lists
 
 
--- a/stepknot/admission/addresses.py
+++ b/stepknot/admission/addresses.py
@@ -1,4 +1,4 @@
-"""IP addresses as packed bytes, the prefixes that they count for, and sets of networks."""
+"""IP addresses as packed bytes, the prefixes to which their limits apply, and sets of networks."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from collections.abc import Iterable
 from typing import NewType
 
-Address = NewType("Address", bytes)  # 4 or 16 bytes, packed; IPv4 mapped in IPv6 is kept as IPv4
-PrefixKey = NewType("PrefixKey", bytes)  # the kind of a prefix in one byte, then its bytes
+Address = NewType("Address", bytes)  # 4 or 16 packed bytes; IPv4-mapped IPv6 is stored as IPv4
+PrefixKey = NewType("PrefixKey", bytes)  # one byte for the kind of prefix, then the prefix's bytes
 
-# The kinds, so that keys of two kinds are never equal.
+# The first byte of a prefix key, by the kind of prefix; it keeps keys of different kinds distinct.
 V4_24 = b"4"
 V6_64 = b"6"
 V6_56 = b"5"
@@ -19,10 +19,10 @@
 
 
 def parse_address(text: str) -> Address:
-    """Pack an address; a zone index is ignored, IPv4 mapped in IPv6 becomes IPv4.
+    """Parse an address; a zone index is ignored, and an IPv4-mapped IPv6 address becomes IPv4.
 
     Raises:
-        ValueError: `text` is no IP address.
+        ValueError: `text` is not an IP address.
     """
     address = ipaddress.ip_address(text.partition("%")[0])
     if isinstance(address, ipaddress.IPv6Address) and address.ipv4_mapped is not None:
@@ -31,19 +31,19 @@
 
 
 def format_address(address: bytes) -> str:
-    """The usual text of a packed address."""
+    """Return the usual text form of a packed address."""
     return str(ipaddress.ip_address(address))
 
 
 def prefix_keys(address: Address) -> tuple[PrefixKey, ...]:
-    """Keys of the prefixes that an address counts for: /24 of IPv4, /64 and /56 of IPv6."""
+    """Return the keys of an address's prefixes: /24 for IPv4, /64 and /56 for IPv6."""
     if len(address) == V4_BYTES:
         return (PrefixKey(V4_24 + address[:3]),)
     return (PrefixKey(V6_64 + address[:8]), PrefixKey(V6_56 + address[:7]))
 
 
 def format_prefix(key: PrefixKey) -> str:
-    """The usual text of a prefix."""
+    """Return the usual text form of a prefix."""
     kind, prefix = key[:1], key[1:]
     if kind == V4_24:
         return f"{ipaddress.ip_address(prefix + bytes(1))}/24"
@@ -55,16 +55,16 @@
     """Parse a network.
 
     Raises:
-        ValueError: `text` is no network, or bits beyond its prefix are set.
+        ValueError: `text` is not a network, or host bits beyond its prefix are set.
     """
     return ipaddress.ip_network(text)
 
 
 class NetworkSet:
-    """Tells whether an address is in one of some networks, by one lookup for each prefix length that occurs."""
+    """A set of networks that contains addresses; a membership test takes one lookup per prefix length in the set."""
 
     def __init__(self, texts: Iterable[str] = ()) -> None:
-        # Of each address length in bytes and number of host bits: the network numbers.
+        # Network numbers by address length in bytes and number of host bits.
         self._numbers: dict[tuple[int, int], set[int]] = {}
         for text in texts:
             self.add(text)
@@ -73,7 +73,7 @@
         """Add a network.
 
         Raises:
-            ValueError: `text` is no network.
+            ValueError: `text` is not a network.
         """
         network = parse_network(text)
         host_bits = network.max_prefixlen - network.prefixlen
--- a/stepknot/admission/byte_budget.py
+++ b/stepknot/admission/byte_budget.py
@@ -1,4 +1,4 @@
-"""The byte budget: request bodies in memory, by address and in all."""
+"""The byte budget: limits the memory for request bodies, per address and in total."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from stepknot.admission.addresses import Address
 from stepknot.admission.model import AdmissionSettings, TrackedConnection
 
-MIN_ADDRESS_FRACTION = 64  # an address may always have one part in this many, if it is free
+MIN_ADDRESS_DIVISOR = 64  # an address may always reserve the budget divided by this, if that much is free
 
 
 class ByteBudget:
-    """Reserved bytes; an address may have as many as are free, at most. Invariant 1."""
+    """Counts reserved bytes; an address may reserve at most as many bytes as remain free. Invariant 1."""
 
     def __init__(self, settings: AdmissionSettings) -> None:
         self.settings = settings
@@ -19,11 +19,11 @@
         self.by_address: Counter[Address] = Counter()
 
     def reserve(self, connection: TrackedConnection, size: int) -> bool:
-        """Reserve bytes of a request; if False, the sender has to wait or is rejected."""
+        """Reserve bytes for a request; return False if the sender must wait or is rejected."""
         limit = self.settings.bytes
         free = limit - self.reserved
         own = self.by_address[connection.address] + size
-        if size > free or own > max(free, limit // MIN_ADDRESS_FRACTION):
+        if size > free or own > max(free, limit // MIN_ADDRESS_DIVISOR):
             return False
         connection.bytes_reserved += size
         self.by_address[connection.address] = own
@@ -31,7 +31,7 @@
         return True
 
     def release(self, connection: TrackedConnection, size: int) -> None:
-        """Give back bytes that the connection had reserved."""
+        """Release bytes that the connection has reserved."""
         if not size:
             return
         connection.bytes_reserved -= size
--- a/stepknot/admission/connection_slots.py
+++ b/stepknot/admission/connection_slots.py
@@ -1,4 +1,4 @@
-"""Connection slots: limits by address, prefix, API key and trust level, and the choice of an idle one to evict."""
+"""Connection slots: limits by address, prefix, API key and trust level, and eviction of idle connections."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 )
 from stepknot.admission.ranked_counter import RankedCounter
 
-HALF_FULL = 0.5  # of the slots: from here on the keep-alive time gets shorter
-MAX_EVICTION_CANDIDATES = 16  # addresses with most connections in which an idle one is looked for
-MIN_EVICTION_LEAD = 2  # connections more, with which an equally known address loses one
+HALF_FULL = 0.5  # fraction of slots in use above which the keep-alive time is shortened
+MAX_EVICTION_CANDIDATES = 16  # number of addresses, those with the most connections, searched for an idle connection
+# An idle connection of the same trust level is evicted only if its address has at least this many connections more.
+MIN_EVICTION_DIFFERENCE = 2
 
 
 class ConnectionSlots:
-    """The admitted connections; invariants 1, 2 and 3."""
+    """Counts the admitted connections and enforces their limits; invariants 1, 2 and 3."""
 
     def __init__(self, settings: AdmissionSettings, capacity: int) -> None:
         self.settings = settings
@@ -29,16 +30,16 @@
         self.by_prefix: Counter[PrefixKey] = Counter()
         self.by_key: Counter[str] = Counter()
         self.by_trust: Counter[TrustLevel] = Counter()
-        # Of each address with slots the idle connections, the one that is idle for longest first.
+        # Idle connections of each address that has slots, the longest idle one first.
         self.idle: dict[Address, OrderedDict[int, TrackedConnection]] = {}
 
     @property
     def taken(self) -> int:
-        """Slots in use."""
+        """The number of slots in use."""
         return self.by_trust.total()
 
     def limit(self, trust: TrustLevel) -> int:
-        """Slots that clients of this trust level and below may have together."""
+        """Return the number of slots that clients of this trust level and below may have together."""
         reserve = math.ceil(self.capacity * self.settings.reserve)
         if trust is TrustLevel.UNKNOWN:
             return self.capacity - reserve
@@ -47,23 +48,24 @@
         return self.capacity
 
     def taken_up_to(self, trust: TrustLevel) -> int:
-        """Slots in use by clients of this trust level and below."""
+        """Return the number of slots in use by clients of this trust level and below."""
         if trust is TrustLevel.LISTED:
             return self.taken
         return sum(count for level, count in self.by_trust.items() if level <= trust)
 
     def has_free(self, trust: TrustLevel) -> bool:
-        """Whether a client of this trust level may take one more slot."""
+        """Return whether a client of this trust level may take one more slot."""
         return all(
             self.taken_up_to(level) < self.limit(level) for level in TrustLevel if level >= trust
         )
 
     def exceeded_limit(self, connection: TrackedConnection) -> RejectReason | None:
-        """The limit of its address, prefix or key that one more connection would exceed."""
+        """Return the limit of the address, prefix or key that this connection would exceed, or None."""
         settings, address = self.settings, connection.address
         factor = 1.0 if connection.trust is TrustLevel.UNKNOWN else settings.known_factor
         own = self.by_key[connection.api_key] if connection.api_key else self.by_address[address]
-        # Beyond the common limit a known client gets as many as are free, so that it cannot take all.
+        # Above the limit of unknown clients, a known client gets at most as many slots as remain free, so that it
+        # cannot take all of them.
         free = self.capacity - self.taken
         if own >= max(settings.per_address, min(settings.per_address * factor, free)):
             return RejectReason.ADDRESS_CONNECTIONS
@@ -75,7 +77,7 @@
         return None
 
     def _prefix_limits(self, address: Address) -> tuple[int, ...]:
-        """The limits of an address's prefixes, in the order of `prefix_keys`."""
+        """Return the limits of an address's prefixes, in the order of `prefix_keys`."""
         if len(address) == V4_BYTES:
             return (self.settings.per_v4_24,)
         return (self.settings.per_v6_64, self.settings.per_v6_56)
@@ -85,7 +87,7 @@
         self._count(connection, 1)
 
     def release(self, connection: TrackedConnection) -> None:
-        """Take the connection's slot back."""
+        """Release the connection's slot."""
         self._count(connection, -1)
         self.mark_busy(connection)
         if not self.by_address[connection.address]:
@@ -104,7 +106,7 @@
                 del self.by_prefix[prefix]
 
     def mark_idle(self, connection: TrackedConnection) -> None:
-        """The connection waits for its next request: it is the last of its address to be evicted."""
+        """Mark the connection as idle; it becomes the last of its address to be evicted."""
         idle = self.idle.get(connection.address)
         if idle is None:
             idle = self.idle[connection.address] = OrderedDict()
@@ -112,17 +114,17 @@
         idle.move_to_end(connection.number)
 
     def mark_busy(self, connection: TrackedConnection) -> None:
-        """A request has begun to arrive, or is in flight: the connection is not evicted."""
+        """Exclude the connection from eviction, because a request has begun to arrive or is in flight."""
         idle = self.idle.get(connection.address)
         if idle is not None:
             idle.pop(connection.number, None)
 
-    def find_evictable(self, newcomer: TrackedConnection) -> TrackedConnection | None:
-        """The idle connection that a newcomer may displace.
+    def find_evictable(self, new_connection: TrackedConnection) -> TrackedConnection | None:
+        """Return the idle connection that a new connection may evict, or None.
 
-        It is one of a less known client, or of an equally known address with at least two connections more.
+        It has a lower trust level, or the same level and an address with at least two connections more.
         """
-        own = self.by_address[newcomer.address]
+        own = self.by_address[new_connection.address]
         for rank, address in enumerate(self.by_address.descending()):
             if rank >= MAX_EVICTION_CANDIDATES:
                 return None
@@ -130,15 +132,19 @@
             if not idle:
                 continue
             longest_idle = next(iter(idle.values()))
-            has_lead = self.by_address[address] >= own + MIN_EVICTION_LEAD
-            if longest_idle.trust < newcomer.trust or (
-                longest_idle.trust is newcomer.trust and has_lead
+            has_more = self.by_address[address] >= own + MIN_EVICTION_DIFFERENCE
+            if longest_idle.trust < new_connection.trust or (
+                longest_idle.trust is new_connection.trust and has_more
             ):
                 return longest_idle
         return None
 
     def idle_timeout(self, base: float) -> float:
-        """Keep-alive seconds: `base` up to half full, then less, `idle_least` when all slots are taken."""
+        """Return the keep-alive time in seconds.
+
+        It is `base` while at most half of the slots are taken, and then decreases linearly to `idle_least`, which
+        applies when all slots are taken.
+        """
         fullness = self.taken / max(self.capacity, 1)
         shortest = min(self.settings.idle_least, base)
         if fullness <= HALF_FULL:
--- a/stepknot/admission/controller.py
+++ b/stepknot/admission/controller.py
@@ -1,4 +1,4 @@
-"""Decides on connections and queries: composes connection slots, waiting queue, query slots and byte budget."""
+"""Decides on connections and queries, using connection slots, the waiting queue, query slots and the byte budget."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from stepknot.admission.reputation import ReputationTable
 from stepknot.admission.waiting_queue import WaitingQueue
 
-RETRY_AFTER = 1.0  # seconds, where nothing tells better
+RETRY_AFTER = 1.0  # seconds; used where no better estimate is available
 
 # Labels of the decisions in metrics and admin answers.
 CONNECTION_ADMITTED = "seated"
@@ -36,7 +36,7 @@
 
 
 class AdmissionController:
-    """Admission control of one broker; the caller carries the verdicts out."""
+    """Decides on the connections and queries of one broker; the caller carries out the verdicts."""
 
     def __init__(
         self, settings: AdmissionSettings, capacity: int, lists: AccessLists | None = None
@@ -55,7 +55,7 @@
         self._listed = NetworkSet(settings.listed)
 
     def trust_level(self, now: float, address: Address) -> TrustLevel:
-        """How well the clients of an address are known."""
+        """Return how well the clients of an address are known."""
         if address in self._listed or self.lists.contains(AccessList.ALLOWED, address):
             return TrustLevel.LISTED
         if self.reputation.is_reputable(now, address):
@@ -65,7 +65,10 @@
     # --- connections
 
     def on_connection(self, now: float, number: int, address: Address) -> Verdict:
-        """A client has connected. For each evicted connection the caller closes it; its state is dropped already."""
+        """Decide on a new connection.
+
+        The caller closes each evicted connection of the verdict; the controller has already dropped its state.
+        """
         trust = self.trust_level(now, address)
         connection = TrackedConnection(number, address, Placement.REJECTED, trust)
         self.connections[number] = connection
@@ -75,36 +78,36 @@
         if rate > max_rate:
             retry_after = self.settings.memory * math.log(rate / max_rate)
             return self._enqueue(now, connection, RejectReason.RATE, retry_after)
-        # A connection that is rejected for its rate does not count: when a flood ends, so does its rejection.
+        # Connections that are rejected for their rate do not count, so that rejection stops soon after a flood ends.
         self.arrival_rates.add(now, address)
         return self._admit(now, connection)
 
     def _max_rate(self, trust: TrustLevel) -> float:
-        """New connections a second of an address."""
+        """Return the maximum number of new connections per second of an address."""
         if trust is TrustLevel.UNKNOWN:
             return self.settings.rate
         return self.settings.rate * self.settings.known_factor
 
     def on_proxy_connection(self, now: float, number: int, address: Address) -> Verdict:
-        """A trusted proxy has connected: it needs a slot, but no limit of an address applies to the proxy itself."""
+        """Decide on a connection from a trusted proxy, which needs a slot but is exempt from the limits by address."""
         connection = TrackedConnection(number, address, Placement.REJECTED, TrustLevel.LISTED)
         self.connections[number] = connection
         return self._take_slot(now, connection)
 
     def on_proxied_address(self, now: float, number: int, address: Address) -> Verdict:
-        """A proxy said which client the connection is for: it is judged again, as that client's."""
+        """Decide again on a proxy's connection, as a connection of the client that the proxy has named."""
         self.on_connection_closed(number)
         return self.on_connection(now, number, address)
 
     def on_descriptors_exhausted(self, now: float, address: Address) -> Verdict:
-        """A connection came for which there is no descriptor."""
+        """Reject a connection for which no descriptor is available."""
         self._count_rejection(now, address, RejectReason.DESCRIPTORS)
         return Verdict(Placement.REJECTED, RejectReason.DESCRIPTORS, RETRY_AFTER)
 
     def on_first_request(self, now: float, number: int, api_key: str) -> Verdict:
-        """The first request is here, with the name of the API key that it shows, or "".
+        """Decide again when the first request arrives with the API key of this name, or "" for none.
 
-        A key admits a connection that exceeded a limit or the rate; it does not lift a ban.
+        A key admits a connection that exceeded a limit or the rate, but not one from a banned address.
         """
         connection = self.connections[number]
         if not api_key or api_key == connection.api_key:
@@ -120,7 +123,7 @@
         return self._admit(now, connection)
 
     def _count_for_key(self, connection: TrackedConnection, api_key: str) -> None:
-        """Count an admitted connection for its key; where the key's limit is reached it stays as it is."""
+        """Count an admitted connection for its key; if the key's limit is reached, leave it counted for its address."""
         as_listed = replace(connection, api_key=api_key, trust=TrustLevel.LISTED)
         if self.slots.exceeded_limit(as_listed) is not None:
             return
@@ -130,7 +133,7 @@
         self._mark_idle(connection)
 
     def on_connection_closed(self, number: int) -> None:
-        """The connection was closed; a second call for it does nothing."""
+        """Drop the state of a closed connection; a second call for the same connection has no effect."""
         connection = self.connections.pop(number, None)
         if connection is None:
             return
@@ -141,14 +144,14 @@
             self.queue.remove(connection)
 
     def _admit(self, now: float, connection: TrackedConnection) -> Verdict:
-        """A slot if no limit is exceeded, else a place in the waiting queue."""
+        """Give the connection a slot if it exceeds no limit, or else a place in the waiting queue."""
         reason = self.slots.exceeded_limit(connection)
         if reason is not None:
             return self._enqueue(now, connection, reason, RETRY_AFTER)
         return self._take_slot(now, connection)
 
     def _take_slot(self, now: float, connection: TrackedConnection) -> Verdict:
-        """A slot, if need be of an idle connection that is evicted."""
+        """Give the connection a slot, and evict an idle connection if none is free."""
         evicted: tuple[int, ...] = ()
         if not self.slots.has_free(connection.trust):
             evictable = self.slots.find_evictable(connection)
@@ -164,7 +167,7 @@
     def _enqueue(
         self, now: float, connection: TrackedConnection, reason: RejectReason, retry_after: float
     ) -> Verdict:
-        """A place in the waiting queue, where the connection gets its final answer; none if the queue is full."""
+        """Put the connection in the waiting queue, where it gets its final answer; reject it if there is no place."""
         self._count_rejection(now, connection.address, reason)
         self.reputation.penalize(now, connection.address)
         connection.reason, connection.retry_after = reason, retry_after
@@ -180,7 +183,7 @@
         return Verdict(Placement.WAITING, reason, retry_after, evicted)
 
     def _evict(self, connection: TrackedConnection, decision: str) -> tuple[int, ...]:
-        """Drop the state of a connection; returns what the verdict lists."""
+        """Drop the state of a connection; return the value of the verdict's `evicted`."""
         self.on_connection_closed(connection.number)
         self.decisions[decision] += 1
         return (connection.number,)
@@ -192,19 +195,19 @@
     # --- idle and busy connections
 
     def on_request_bytes(self, number: int) -> None:
-        """Bytes of a request have arrived: the connection is not idle."""
+        """Mark a connection as busy, because bytes of a request have arrived."""
         connection = self.connections.get(number)
         if connection is not None:
             self.slots.mark_busy(connection)
 
     def on_idle(self, number: int) -> None:
-        """The connection is between two requests."""
+        """Mark an admitted connection as idle, because it is between two requests."""
         connection = self.connections.get(number)
         if connection is not None and connection.placement is Placement.ADMITTED:
             self._mark_idle(connection)
 
     def _mark_idle(self, connection: TrackedConnection) -> None:
-        """The connection may be evicted, unless it has a query in flight or bytes of a request."""
+        """Allow eviction of the connection, unless it has a query in flight or reserved bytes."""
         if not connection.queries and not connection.bytes_reserved:
             self.slots.mark_idle(connection)
 
@@ -219,15 +222,17 @@
         tenant_quota: float,
         level: int,
     ) -> QuerySlot | Verdict:
-        """A query has arrived: a slot, to be handed to `on_query_ended` once, or why it is rejected.
+        """Decide on a query; return its slot, or the verdict with the reason for its rejection.
+
+        The caller passes the slot to `on_query_ended` exactly once.
 
         Args:
             now: Time in seconds.
-            number: The connection.
-            address: The client that asks; behind a proxy not the connection's.
-            tenant: Name of its tenant, or "".
-            tenant_quota: Fraction of all slots that the tenant may have; 0 for any.
-            level: How many classes have a higher priority.
+            number: The number of the connection.
+            address: The address of the client; behind a proxy it differs from the connection's.
+            tenant: The name of the client's tenant, or "".
+            tenant_quota: The fraction of all slots that the tenant may have; 0 for no limit.
+            level: The number of classes with a higher priority.
         """
         connection = self.connections[number]
         trust = max(connection.trust, self.trust_level(now, address))
@@ -243,7 +248,7 @@
         return slot
 
     def on_query_ended(self, now: float, slot: QuerySlot, succeeded: bool) -> None:
-        """The query of this slot has ended, whether its connection is still open or not."""
+        """Release the slot of a query that has ended; its connection may already be closed."""
         connection = self.connections.get(slot.connection)
         if connection is not None:
             connection.queries -= 1
@@ -254,16 +259,16 @@
     # --- bytes
 
     def reserve_bytes(self, number: int, size: int) -> bool:
-        """Reserve bytes of a request body; if False, the sender has to wait or is rejected."""
+        """Reserve bytes for a request body; return False if the sender must wait or is rejected."""
         return self.byte_budget.reserve(self.connections[number], size)
 
     def release_bytes(self, number: int, keep: int) -> None:
-        """Give back all but `keep` of the connection's reserved bytes."""
+        """Release all but `keep` of the connection's reserved bytes."""
         connection = self.connections.get(number)
         if connection is not None and connection.bytes_reserved > keep:
             self.byte_budget.release(connection, connection.bytes_reserved - keep)
 
 
 def _current_verdict(connection: TrackedConnection) -> Verdict:
-    """The verdict that holds for a connection."""
+    """Return the verdict that currently applies to a connection."""
     return Verdict(connection.placement, connection.reason, connection.retry_after)
--- a/stepknot/admission/descriptors.py
+++ b/stepknot/admission/descriptors.py
@@ -1,4 +1,4 @@
-"""Allocates the process's descriptor limit to its uses, so that no use can starve another."""
+"""Divides the process's descriptor limit among its uses, so that no use can starve another."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from stepknot.admission.errors import DescriptorLimitError
 
-# Standard streams, epoll, wake-up, listeners, files being read, the spare one, and a margin.
+# Descriptors for standard streams, epoll, wake-up, listeners, open files, the spare descriptor, and a margin.
 FIXED_DESCRIPTORS = 24
 ADMIN_DESCRIPTORS = 4  # connections of operators
-MIN_POOL = 8  # connection slots, and connections to servers, that a broker needs to be of use
-MIN_REMAINING = 3 * MIN_POOL  # descriptors beyond the fixed uses, for queue, servers and clients
-MAX_WAITING_FRACTION = 1 / 8  # of the descriptors beyond the fixed uses
-MAX_SERVERS_FRACTION = 0.4  # of the descriptors that the waiting queue leaves
+MIN_POOL = 8  # minimum number of connection slots, and of connections to servers, of a working broker
+MIN_REMAINING = 3 * MIN_POOL  # minimum number of descriptors for the waiting queue, servers and clients
+MAX_WAITING_FRACTION = 1 / 8  # waiting queue's maximum fraction of the descriptors besides the fixed and admin ones
+MAX_SERVERS_FRACTION = 0.4  # servers' maximum fraction of the descriptors that remain after the waiting queue's
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorBudget:
-    """Descriptors for each use; their sum never exceeds `limit`."""
+    """The number of descriptors for each use; their sum never exceeds `limit`."""
 
     limit: int
     fixed: int
@@ -27,23 +27,23 @@
     clients: int  # connection slots
 
     def total(self) -> int:
-        """The sum over all uses."""
+        """Return the sum over all uses."""
         return self.fixed + self.admin + self.waiting + self.servers + self.clients
 
 
 def allocate_descriptors(
     limit: int, max_server_connections: int, queue_length: int, max_slots: int = 0
 ) -> DescriptorBudget:
-    """Allocate a descriptor limit.
+    """Divide a descriptor limit among its uses.
 
     Args:
-        limit: Descriptors of the process.
-        max_server_connections: Upper bound of connections to servers.
-        queue_length: Connections that may wait in the waiting queue.
-        max_slots: Connection slots asked for; 0 for all that is left.
+        limit: The descriptor limit of the process.
+        max_server_connections: The maximum number of connections to servers.
+        queue_length: The maximum number of connections in the waiting queue.
+        max_slots: The maximum number of connection slots; 0 for all remaining descriptors.
 
     Raises:
-        DescriptorLimitError: The limit is too low for a broker to be of use.
+        DescriptorLimitError: The limit is too low for a working broker.
     """
     remaining = limit - FIXED_DESCRIPTORS - ADMIN_DESCRIPTORS
     if remaining < MIN_REMAINING:
--- a/stepknot/admission/errors.py
+++ b/stepknot/admission/errors.py
@@ -10,7 +10,7 @@
 
 
 class ProxyHeaderError(AdmissionError):
-    """The bytes at the start of a connection are no PROXY protocol header."""
+    """The bytes at the start of a connection are not a valid PROXY protocol header."""
 
 
 class AccessListError(AdmissionError, ValueError):
@@ -18,15 +18,15 @@
 
 
 class SnapshotDamagedError(AdmissionError):
-    """A snapshot of the access lists is not what was written."""
+    """A snapshot of the access lists is damaged or incomplete."""
 
 
 class DescriptorLimitError(AdmissionError, ValueError):
-    """The process's descriptor limit is too low for a broker to be of use."""
+    """The process's descriptor limit is too low for a working broker."""
 
     def __init__(self, limit: int, min_limit: int) -> None:
         super().__init__(
-            f"a descriptor limit of {limit} is too low: at least {min_limit} are needed"
+            f"the descriptor limit of the process is {limit}, but a broker needs at least {min_limit}"
         )
         self.limit = limit
         self.min_limit = min_limit
--- a/stepknot/admission/forwarded.py
+++ b/stepknot/admission/forwarded.py
@@ -1,7 +1,7 @@
-"""Finds the client of a request in the headers of proxies: `Forwarded` (RFC 7239), `X-Forwarded-For`.
+"""Finds the client of a request in the headers of proxies: `Forwarded` (RFC 7239) or `X-Forwarded-For`.
 
-Nothing is trusted further than the first hop that is not itself trusted: what stands before it was written by whoever
-sent the request.
+The headers are read from the nearest hop outwards, up to the first hop that is not trusted. Entries beyond it are
+ignored, because the sender of the request could have written anything there.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 
 from stepknot.admission.addresses import Address, NetworkSet, parse_address
 
-MAX_HOPS = 32  # nearest hops that are read
+MAX_HOPS = 32  # maximum number of hops read, counted from the nearest
 
 
 def client_address(headers: Mapping[str, str], peer: Address, trusted: NetworkSet) -> Address:
-    """The client by the headers, from the nearest hop outwards, as far as hops are trusted."""
+    """Return the client according to the headers: the nearest hop that is not trusted."""
     if peer not in trusted:
         return peer
     client = peer
@@ -22,7 +22,7 @@
         try:
             client = parse_address(hop)
         except ValueError:
-            # "unknown", an obfuscated name, or malformed: the hop that wrote it is the last one known.
+            # The entry is "unknown", an obfuscated name or malformed; the hop that wrote it is the last known one.
             return client
         if client not in trusted:
             return client
@@ -30,7 +30,7 @@
 
 
 def _hops(headers: Mapping[str, str]) -> list[str]:
-    """Addresses as written, the nearest last; `X-Forwarded-For` is read where `Forwarded` is missing."""
+    """Return the hops' addresses as text, the nearest last; use `X-Forwarded-For` if there is no `Forwarded`."""
     if "forwarded" in headers:
         elements = headers["forwarded"].split(",")[-MAX_HOPS:]
         return [_for_parameter(element) for element in elements]
@@ -39,7 +39,7 @@
 
 
 def _for_parameter(element: str) -> str:
-    """The `for` parameter of an element of `Forwarded`; "" where it has none."""
+    """Return the `for` parameter of an element of `Forwarded`, or "" if it has none."""
     for pair in element.split(";"):
         name, _, value = pair.partition("=")
         if name.strip().lower() == "for":
@@ -48,7 +48,7 @@
 
 
 def _strip(text: str) -> str:
-    """An address without quotes, brackets and port."""
+    """Return an address without quotes, brackets and port."""
     text = text.strip().strip('"')
     if text.startswith("["):
         return text[1:].partition("]")[0]
--- a/stepknot/admission/heavy_hitters.py
+++ b/stepknot/admission/heavy_hitters.py
@@ -1,9 +1,9 @@
-"""Finds the keys with the highest counts in fixed memory: space-saving counters that decay.
+"""Finds the keys with the highest counts in fixed memory, with the Space-Saving algorithm and decaying counts.
 
-Of K counters over a decayed total N, every key with a true count over N / K is tracked. A count is too high by its
-`error` at most, so the lower bound (count less error) never exceeds the true count: a key that is judged by it is not
-judged by what others did. Keys are bytes, whose hashes CPython keys by a secret of the process: collisions cannot be
-planted.
+With K counters and a decayed total of N, every key with a true count above N / K is tracked. A count exceeds the true
+count by at most its `error`, so the lower bound (count minus error) never exceeds the true count. A decision by the
+lower bound therefore never depends on the events of other keys. Keys are bytes: CPython hashes them with a secret of
+the process, so clients cannot cause collisions on purpose.
 
 Source: Metwally, Agrawal, El Abbadi, "Efficient computation of frequent and top-k elements in data streams", 2005.
 """
@@ -14,31 +14,32 @@
 import math
 from dataclasses import dataclass
 
-MAX_WEIGHT = 1e12  # weights grow instead of counts decaying: beyond this all are scaled down
-MAX_EXPONENT = 700.0  # of the weight, within the range of a float
+# Instead of decaying all counts, the weight of new events grows. Above this weight all counts are scaled down.
+MAX_WEIGHT = 1e12
+MAX_EXPONENT = 700.0  # maximum exponent of the weight that is within the range of a float
 
 
 @dataclass(frozen=True, slots=True)
 class HeavyHitter:
-    """A tracked key, decayed to the time of the question."""
+    """A tracked key with its count, decayed to the time of the call that returned it."""
 
     key: bytes
     count: float  # upper bound of the true count
-    error: float  # the count is too high by this at most
+    error: float  # maximum amount by which the count exceeds the true count
 
 
 class HeavyHitters:
-    """Counts that decay by a factor e in `memory` seconds.
+    """Counts that decay by a factor of e every `memory` seconds.
 
-    Time may stand still; after a step back events count at the last weight.
+    Calls may pass the same time repeatedly. After a backward clock step, events count with the latest weight.
     """
 
     def __init__(self, size: int, memory: float) -> None:
         self.size = size
         self.memory = memory
-        # Of each key: count and error, in units of the weight at `_scaled_at`.
+        # Count and error by key, in units of the weight at `_scaled_at`.
         self._counts: dict[bytes, list[float]] = {}
-        # Counts as of some time, each key once; outdated entries are corrected when they reach the top.
+        # Each key once, with a count that may be outdated; an outdated count is corrected when it reaches the top.
         self._heap: list[tuple[float, bytes]] = []
         self._scaled_at = 0.0
         self._latest = 0.0
@@ -51,7 +52,7 @@
         return key in self._counts
 
     def add(self, now: float, key: bytes, amount: float = 1.0) -> None:
-        """Count a key; where the table is full, it replaces the key with the lowest count."""
+        """Count a key; if the table is full, a new key replaces the key with the lowest count."""
         weight = self._weight(now) * amount
         entry = self._counts.get(key)
         if entry is not None:
@@ -64,22 +65,22 @@
         heapq.heappush(self._heap, (error + weight, key))
 
     def lower_bound(self, now: float, key: bytes) -> float:
-        """A lower bound of the key's count, decayed to now."""
+        """Return a lower bound of the key's count, decayed to `now`."""
         entry = self._counts.get(key)
         return (entry[0] - entry[1]) / self._weight(now) if entry is not None else 0.0
 
     def rate(self, now: float, key: bytes) -> float:
-        """A lower bound of the key's events a second: a steady r shows as r, a burst of n as n / memory."""
+        """Return a lower bound of the key's events per second: r for a steady rate r, n / memory for a burst of n."""
         return self.lower_bound(now, key) / self.memory
 
     def top(self, now: float, limit: int) -> list[HeavyHitter]:
-        """The keys with the highest counts, the highest first."""
+        """Return the keys with the highest counts in descending order."""
         weight = self._weight(now)
         highest = heapq.nlargest(limit, self._counts.items(), key=lambda item: item[1][0])
         return [HeavyHitter(key, count / weight, error / weight) for key, (count, error) in highest]
 
     def _weight(self, now: float) -> float:
-        """The weight of an event now."""
+        """Return the weight of an event at time `now`."""
         if not self._started:
             self._scaled_at = self._latest = now
             self._started = True
@@ -92,7 +93,7 @@
         return weight
 
     def _scale_down(self, weight: float) -> None:
-        """Express all counts in units of the weight now."""
+        """Convert all counts to units of the current weight."""
         for entry in self._counts.values():
             entry[0] /= weight
             entry[1] /= weight
@@ -101,9 +102,9 @@
         heapq.heapify(self._heap)
 
     def _remove_lowest(self) -> float:
-        """Remove the key with the lowest count and return the count.
+        """Remove the key with the lowest count and return that count.
 
-        Counts only grow, so the heap's are lower bounds.
+        Counts only grow, so the counts in the heap are lower bounds.
         """
         while True:
             count, key = self._heap[0]
--- a/stepknot/admission/model.py
+++ b/stepknot/admission/model.py
@@ -9,7 +9,7 @@
 
 
 class RejectReason(Enum):
-    """Why a connection or query is rejected; the values are labels of metrics and text in answers."""
+    """The reason for rejecting a connection or query; the values are labels of metrics and text in answers."""
 
     BANNED = "banned"
     RATE = "rate of new connections"
@@ -27,8 +27,8 @@
     """How well a client is known; `label` is its name in metrics and admin answers."""
 
     UNKNOWN = 0
-    REPUTABLE = 1  # by its requests of the last minutes
-    LISTED = 2  # by address or by API key
+    REPUTABLE = 1  # known by its requests of the last minutes
+    LISTED = 2  # known by its address or API key
 
     @property
     def label(self) -> str:
@@ -44,57 +44,61 @@
 
 
 class Placement(Enum):
-    """What a connection has; the values are in log events."""
+    """The place that a connection gets; the values are in log events."""
 
-    ADMITTED = "seat"  # a connection slot: it is served
-    WAITING = "lane"  # a place in the waiting queue: it may show an API key with its first request, or is rejected then
-    REJECTED = "out"  # nothing: it is closed at once
+    ADMITTED = "seat"  # a connection slot: the connection is served
+    # A place in the waiting queue: the first request is rejected, unless it has an API key that admits the connection.
+    WAITING = "lane"
+    REJECTED = "out"  # no place: the connection is closed at once
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionSettings:
-    """Limits of one broker, named as in the `admission` block. Times in seconds, rates in a second, sizes in bytes."""
-
-    connections: int = 0  # connection slots; 0: what the descriptor limit leaves for clients
-    reserve: float = 0.2  # fraction of the slots that only known clients get
-    per_address: int = 64  # connections
-    per_v4_24: int = 512
-    per_v6_64: int = 64
-    per_v6_56: int = 256
-    known_factor: float = 4.0  # a known client's limits are this many times as high
-    rate: float = 50.0  # new connections a second of an address
-    queries: int = 32  # in flight, of an address
-    tenant_queries: int = 0  # in flight, of a tenant; 0: its quota of `held`
-    held: int = 4096  # queries in flight, in all
-    bytes: int = 256 * 1024 * 1024  # of request bodies in memory, in all
-    lane: int = 128  # connections in the waiting queue
-    lane_time: float = 1.0  # for their first request to arrive
-    progress: float = 512.0  # bytes a second that a slow sender or reader must make, after `grace`
-    grace: float = 5.0
-    idle_least: float = 1.0  # keep-alive when all slots are taken
-    conduct: float = 60.0  # seconds with served requests that make a client reputable
-    conduct_kept: int = 4096  # addresses whose reputation is remembered
-    tracked: int = 1024  # addresses whose rates are tracked
-    memory: float = 10.0  # seconds over which rates decay
+    """Limits of one broker, named as in the `admission` block.
+
+    Times are in seconds, rates are per second and sizes are in bytes.
+    """
+
+    connections: int = 0  # connection slots; 0: as many as the descriptor limit allows for clients
+    reserve: float = 0.2  # fraction of the slots that is reserved for known clients
+    per_address: int = 64  # maximum connections of an address
+    per_v4_24: int = 512  # maximum connections of a /24 prefix of IPv4
+    per_v6_64: int = 64  # maximum connections of a /64 prefix of IPv6
+    per_v6_56: int = 256  # maximum connections of a /56 prefix of IPv6
+    known_factor: float = 4.0  # factor by which a known client's limits are higher
+    rate: float = 50.0  # maximum new connections per second of an address
+    queries: int = 32  # maximum queries in flight of an address
+    tenant_queries: int = 0  # maximum queries in flight of a tenant; 0: its quota of `held`
+    held: int = 4096  # maximum queries in flight in total
+    bytes: int = 256 * 1024 * 1024  # maximum size of all request bodies in memory
+    lane: int = 128  # maximum connections in the waiting queue
+    lane_time: float = 1.0  # time for the first request of a connection in the waiting queue to arrive
+    progress: float = 512.0  # minimum bytes per second of a slow sender or reader, after `grace`
+    grace: float = 5.0  # time before `progress` applies
+    idle_least: float = 1.0  # keep-alive time when all slots are taken
+    conduct: float = 60.0  # points that make a client reputable; a second with a served request gives one point
+    conduct_kept: int = 4096  # maximum number of addresses whose reputation is stored
+    tracked: int = 1024  # maximum number of addresses whose rates are tracked
+    memory: float = 10.0  # time constant with which rates decay
     listed: tuple[str, ...] = ()  # networks of known clients
-    trusted: tuple[str, ...] = ()  # networks of proxies whose word on addresses is taken
-    proxy_protocol: bool = False  # connections of trusted peers begin with a PROXY header
-    keys: dict[str, str] = field(default_factory=dict)  # SHA-256 of an API key: its name
-    state: str = ""  # file of bans and allowances, kept over restarts
+    trusted: tuple[str, ...] = ()  # networks of proxies that are trusted to report client addresses
+    proxy_protocol: bool = False  # whether connections of trusted peers begin with a PROXY header
+    keys: dict[str, str] = field(default_factory=dict)  # names of API keys by the SHA-256 of the key
+    state: str = ""  # file that preserves bans and allowances over restarts
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What becomes of a connection or query."""
+    """The decision on a connection or query."""
 
     placement: Placement
-    reason: RejectReason | None = None  # None where it is admitted
+    reason: RejectReason | None = None  # None if admitted
     retry_after: float = 0.0  # seconds
-    evicted: tuple[int, ...] = ()  # other connections, which the caller has to close
+    evicted: tuple[int, ...] = ()  # numbers of other connections that the caller must close
 
     @property
     def reason_text(self) -> str:
-        """The reason as answers and log events have it; "" where it is admitted."""
+        """The reason's text in answers and log events; "" if admitted."""
         return self.reason.value if self.reason is not None else ""
 
 
@@ -108,16 +112,16 @@
     trust: TrustLevel
     reason: RejectReason | None = None
     retry_after: float = 0.0  # seconds
-    api_key: str = ""  # the name of the key that it showed
-    queries: int = 0  # in flight
-    bytes_reserved: int = 0  # of request bodies
+    api_key: str = ""  # name of the API key that the client sent
+    queries: int = 0  # queries in flight
+    bytes_reserved: int = 0  # bytes reserved for request bodies
 
 
 @dataclass(frozen=True, slots=True)
 class QuerySlot:
-    """The place of one query in flight."""
+    """The slot of one query in flight."""
 
     connection: int
-    address: Address  # of the client that asked
+    address: Address  # address of the client
     tenant: str  # "" for none
     trust: TrustLevel
--- a/stepknot/admission/proxy_protocol.py
+++ b/stepknot/admission/proxy_protocol.py
@@ -1,6 +1,6 @@
-"""Parses the header of the PROXY protocol, versions 1 and 2: the client that a proxy's connection is for.
+"""Parses the header of the PROXY protocol, versions 1 and 2, which names the client of a proxy's connection.
 
-Parsing only; whether the header is believed is for the caller, who knows the peer. Source: HAProxy, "The PROXY
+The module only parses. The caller knows the peer and decides whether to trust the header. Source: HAProxy, "The PROXY
 protocol", versions 1 and 2.
 """
 
@@ -11,32 +11,32 @@
 from stepknot.admission.addresses import V4_BYTES, V6_BYTES, Address, parse_address
 from stepknot.admission.errors import ProxyHeaderError
 
-SIGNATURE = b"\r\n\r\n\0\r\nQUIT\n"  # of version 2
-LINE_START = b"PROXY "  # of version 1
-MAX_LINE = 107  # bytes of a version 1 line, by its specification
-MAX_BLOCK = 1024  # bytes of a version 2 block that are accepted: addresses and some extensions
+SIGNATURE = b"\r\n\r\n\0\r\nQUIT\n"  # start of a version 2 header
+LINE_START = b"PROXY "  # start of a version 1 header
+MAX_LINE = 107  # maximum length in bytes of a version 1 line, by the specification
+MAX_BLOCK = 1024  # maximum accepted length in bytes of a version 2 block: addresses and some extensions
 MAX_PORT = 65535
 
-LINE_FIELDS = 6  # PROXY, family, two addresses, two ports
-FIXED_PART = 16  # bytes of a version 2 header before its block
+LINE_FIELDS = 6  # number of fields of a version 1 line: PROXY, family, two addresses, two ports
+FIXED_PART = 16  # length in bytes of a version 2 header before its block
 VERSION = 2
 LOCAL, PROXIED = 0, 1  # commands of version 2
 UNSPECIFIED, INET, INET6, UNIX = 0, 1, 2, 3  # address families of version 2
 ADDRESS_BYTES = {INET: V4_BYTES, INET6: V6_BYTES}
 PORTS = 2
 PORTS_BYTES = 4
-MAPPED_PREFIX = bytes(10) + b"\xff\xff"  # of IPv4 mapped in IPv6
+MAPPED_PREFIX = bytes(10) + b"\xff\xff"  # prefix of an IPv4-mapped IPv6 address
 
 
 class ProxyHeader(NamedTuple):
     """A complete header."""
 
-    address: Address | None  # of the client; None for LOCAL and UNKNOWN: the peer itself
-    length: int  # bytes that the header takes
+    address: Address | None  # address of the client; None for LOCAL and UNKNOWN: the client is the peer
+    length: int  # length of the header in bytes
 
 
 def parse_proxy_header(data: bytes) -> ProxyHeader | None:
-    """Parse the header at the start of `data`; None while it is incomplete.
+    """Parse the header at the start of `data`; return None while it is incomplete.
 
     Raises:
         ProxyHeaderError: `data` does not begin with a header of either version.
@@ -74,7 +74,7 @@
 
 
 def _is_number(field: bytes) -> bool:
-    """Whether a field is a decimal number without leading zeros."""
+    """Return whether a field is a decimal number without leading zeros."""
     return field.isdigit() and (field == b"0" or field[:1] != b"0")
 
 
@@ -99,6 +99,6 @@
 
 
 def _unmap(address: bytes) -> Address:
-    """The address, as IPv4 where it is IPv4 mapped in IPv6."""
+    """Return the address, converted to IPv4 if it is an IPv4-mapped IPv6 address."""
     is_mapped = len(address) == V6_BYTES and address.startswith(MAPPED_PREFIX)
     return Address(address[12:] if is_mapped else address)
--- a/stepknot/admission/query_slots.py
+++ b/stepknot/admission/query_slots.py
@@ -1,4 +1,4 @@
-"""Query slots: limits on queries in flight, by address, by tenant and in all."""
+"""Query slots: limits on the queries in flight, per address, per tenant and in total."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 from stepknot.admission.addresses import Address
 from stepknot.admission.model import AdmissionSettings, QuerySlot, RejectReason, TrustLevel
 
-RESERVED_PER_LEVEL = 0.05  # of the slots, kept free for each class of a higher priority
+RESERVED_PER_LEVEL = 0.05  # fraction of the slots that is kept free for each class with a higher priority
 
 
 class QuerySlots:
-    """The queries in flight; invariants 1 and 2.
+    """Counts the queries in flight and enforces their limits; invariants 1 and 2.
 
-    An address may have as many slots as are free, at most: with one heavy client that is half of all, with many it
-    shrinks for each, and some always stay free. Source: dynamic thresholds, Choudhury and Hahne, 1998.
+    An address may have at most as many slots as remain free. A single heavy client thus gets half of all slots, each of
+    several heavy clients gets fewer, and some slots always stay free. Source: dynamic thresholds, Choudhury and Hahne,
+    1998.
     """
 
     def __init__(self, settings: AdmissionSettings) -> None:
@@ -26,18 +27,18 @@
 
     @property
     def taken(self) -> int:
-        """Queries in flight."""
+        """The number of queries in flight."""
         return self.by_trust.total()
 
     def exceeded_limit(
         self, slot: QuerySlot, tenant_quota: float, level: int
     ) -> RejectReason | None:
-        """The limit that one more query would exceed.
+        """Return the limit that one more query would exceed, or None.
 
         Args:
-            slot: What the query would take.
-            tenant_quota: Fraction of all slots that its tenant may have; 0 for any.
-            level: How many classes have a higher priority.
+            slot: The slot that the query would take.
+            tenant_quota: The fraction of all slots that its tenant may have; 0 for no limit.
+            level: The number of classes with a higher priority.
         """
         settings = self.settings
         factor = 1.0 if slot.trust is TrustLevel.UNKNOWN else settings.known_factor
@@ -51,7 +52,7 @@
         return None
 
     def _free(self, trust: TrustLevel, level: int) -> float:
-        """Slots that are free to a query."""
+        """Return the number of slots that are free for a query of this trust level and priority level."""
         held = self.settings.held
         free = held * (1 - RESERVED_PER_LEVEL * level) - self.taken
         if trust is not TrustLevel.UNKNOWN:
@@ -60,21 +61,21 @@
         return min(free, open_to_unknown - self.by_trust[TrustLevel.UNKNOWN])
 
     def _tenant_limit(self, quota: float) -> int:
-        """Slots that a tenant may have."""
+        """Return the maximum number of slots of a tenant."""
         settings = self.settings
         if settings.tenant_queries:
             return settings.tenant_queries
         return math.ceil(quota * settings.held) if quota else settings.held
 
     def take(self, slot: QuerySlot) -> None:
-        """A query begins."""
+        """Count a query that begins."""
         self.by_trust[slot.trust] += 1
         self.by_address[slot.address] = self.by_address.get(slot.address, 0) + 1
         if slot.tenant:
             self.by_tenant[slot.tenant] = self.by_tenant.get(slot.tenant, 0) + 1
 
     def release(self, slot: QuerySlot) -> None:
-        """A query has ended."""
+        """Release the slot of a query that has ended."""
         self.by_trust[slot.trust] -= 1
         self.by_address[slot.address] -= 1
         if not self.by_address[slot.address]:
--- a/stepknot/admission/ranked_counter.py
+++ b/stepknot/admission/ranked_counter.py
@@ -1,4 +1,4 @@
-"""Counts by key with the keys in descending order of count."""
+"""Counts by key, with iteration over the keys in descending order of their counts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class RankedCounter:
-    """Counts by key; a change by one takes constant time, however many keys there are."""
+    """Counts by key; changing a count by one takes constant time, whatever the number of keys."""
 
     def __init__(self) -> None:
         self._counts: Counter[bytes] = Counter()
@@ -21,7 +21,7 @@
         return len(self._counts)
 
     def adjust(self, key: bytes, change: int) -> None:
-        """Change a key's count; a key whose count becomes 0 is forgotten."""
+        """Change a key's count; a key whose count becomes 0 is removed."""
         old = self._counts[key]
         new = old + change
         if old:
@@ -39,6 +39,6 @@
             self._highest -= 1
 
     def descending(self) -> Iterator[bytes]:
-        """The keys, the highest count first; of equal counts, the one that has had it for longest."""
+        """Iterate over the keys in descending order of count; for equal counts, the longest unchanged key is first."""
         for count in range(self._highest, 0, -1):
             yield from list(self._keys_by_count.get(count, ()))
--- a/stepknot/admission/waiting_queue.py
+++ b/stepknot/admission/waiting_queue.py
@@ -1,4 +1,4 @@
-"""The waiting queue: connections over a limit, until their first request is there to be answered."""
+"""The waiting queue: holds connections over a limit until their first request arrives and can be answered."""
 
 from __future__ import annotations
 
@@ -10,25 +10,26 @@
 
 
 class WaitingQueue:
-    """A bounded queue; when it is full, the address with most places loses its oldest. Invariant 1."""
+    """A bounded queue; when it is full, the address with the most places loses its oldest one. Invariant 1."""
 
     def __init__(self, settings: AdmissionSettings) -> None:
         self.settings = settings
         self._numbers: set[int] = set()
-        self.by_address: dict[Address, OrderedDict[int, TrackedConnection]] = {}  # the oldest first
+        # Connections by address, the oldest first.
+        self.by_address: dict[Address, OrderedDict[int, TrackedConnection]] = {}
         self._counts = RankedCounter()
 
     def __len__(self) -> int:
         return len(self._numbers)
 
     def is_full(self) -> bool:
-        """Whether one more connection has no place."""
+        """Return whether there is no place for one more connection."""
         return len(self._numbers) >= self.settings.lane
 
     def find_evictable(self, address: Address) -> TrackedConnection | None:
-        """The connection that one of `address` may displace.
+        """Return the connection that a new one of `address` may evict, or None.
 
-        It is the oldest of the address with most places, if that has more than `address`.
+        It is the oldest one of the address with the most places, if that address has more places than `address`.
         """
         heaviest = next(self._counts.descending(), None)
         if heaviest is None or self._counts[heaviest] <= self._counts[address]:
@@ -43,7 +44,7 @@
         self._counts.adjust(connection.address, 1)
 
     def remove(self, connection: TrackedConnection) -> None:
-        """Take a connection out of the queue."""
+        """Remove a connection from the queue."""
         self._numbers.remove(connection.number)
         own = self.by_address[connection.address]
         del own[connection.number]
--- a/tests/admission/test_access_lists.py
+++ b/tests/admission/test_access_lists.py
@@ -1,4 +1,4 @@
-"""Bans and allowances, and their snapshot on disk."""
+"""Tests of bans and allowances, and of their snapshot on disk."""
 
 from __future__ import annotations
 
@@ -66,8 +66,12 @@
     for number in range(MAX_ENTRIES):
         lists.add(AccessList.BANNED, f"10.{number >> 8}.{number & 255}.0/24", math.inf)
 
-    with pytest.raises(AccessListError, match="10000 networks are banned already"):
+    with pytest.raises(
+        AccessListError,
+        match="cannot add 192.0.2.0/24 to the list of banned networks: "
+        "it already has the maximum of 10000 entries",
+    ):
         lists.add(AccessList.BANNED, "192.0.2.0/24", math.inf)
-    lists.add(AccessList.BANNED, "10.0.0.0/24", 5.0)  # one that is there may change
+    lists.add(AccessList.BANNED, "10.0.0.0/24", 5.0)  # an existing entry can still be changed
 
     assert lists.banned["10.0.0.0/24"] == 5.0
--- a/tests/admission/test_addresses.py
+++ b/tests/admission/test_addresses.py
@@ -1,4 +1,4 @@
-"""Packed addresses, prefixes and sets of networks."""
+"""Tests of packed addresses, prefixes and sets of networks."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -1,4 +1,4 @@
-"""Admission control under generated sequences and in the hard cases, without a socket."""
+"""Tests of admission control without sockets: generated sequences of events, and single difficult cases."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class ControllerDriver:
-    """Carries verdicts out as a broker does, and checks invariants 1, 2 and 5 after every step."""
+    """Carries out verdicts as a broker does, and checks invariants 1, 2 and 5 after every step."""
 
     def __init__(
         self,
@@ -70,20 +70,20 @@
         self.check_invariants()
 
     def query(
-        self, number: int, tenant: str = "", share: float = 0.0, level: int = 0
+        self, number: int, tenant: str = "", quota: float = 0.0, level: int = 0
     ) -> QuerySlot | Verdict:
         connection = self.admission.connections[number]
         result = self.admission.admit_query(
-            self.now, number, connection.address, tenant, share, level
+            self.now, number, connection.address, tenant, quota, level
         )
         if isinstance(result, QuerySlot):
             self.slots.append(result)
         self.check_invariants()
         return result
 
-    def end_query(self, slot: QuerySlot, good: bool = True) -> None:
+    def end_query(self, slot: QuerySlot, succeeded: bool = True) -> None:
         self.slots.remove(slot)
-        self.admission.on_query_ended(self.now, slot, good)
+        self.admission.on_query_ended(self.now, slot, succeeded)
         self.admission.on_idle(slot.connection)
         self.check_invariants()
 
@@ -95,7 +95,7 @@
             if connection.placement is Placement.ADMITTED
         )
         assert (
-            Counter({rank: count for rank, count in admission.slots.by_trust.items() if count})
+            Counter({trust: count for trust, count in admission.slots.by_trust.items() if count})
             == by_trust
         )
         assert by_trust.total() <= admission.slots.capacity
@@ -159,7 +159,7 @@
                 number = rng.choice(admitted)
                 before = len(driver.evicted)
                 driver.query(number, rng.choice(["", "a"]), 0.2, rng.randrange(3))
-                assert len(driver.evicted) == before  # a query never costs anybody a connection
+                assert len(driver.evicted) == before  # a query never evicts a connection
             case 5 | 6 if driver.slots:
                 slot = rng.choice(driver.slots)
                 driver.end_query(slot, rng.random() < 0.9)
@@ -182,7 +182,7 @@
                 driver.check_invariants()
         assert all(
             slot.connection not in driver.evicted for slot in driver.slots
-        )  # nobody is evicted with a query in flight
+        )  # no connection with a query in flight is evicted
         driver.evicted.clear()
     for number in list(driver.admission.connections):
         driver.admission.on_connection_closed(number)
@@ -217,20 +217,20 @@
     )
 
 
-def test_newcomer_evicts_the_longest_idle_connection_of_the_heaviest_address() -> None:
+def test_new_connection_evicts_the_longest_idle_one_of_the_heaviest_address() -> None:
     driver = ControllerDriver()
-    many = [driver.connect("10.0.0.1")[0] for _ in range(10)]
+    numbers = [driver.connect("10.0.0.1")[0] for _ in range(10)]
     for each in range(20):
         driver.connect(f"10.0.1.{each}")
     assert driver.admission.slots.by_trust[TrustLevel.UNKNOWN] == 30
-    driver.admission.on_idle(many[0])  # used of late: the second one is idle for longest now
+    driver.admission.on_idle(numbers[0])  # used just now, so the second one is idle for longest
     _number, verdict = driver.connect("10.0.2.1")
-    assert verdict.placement is Placement.ADMITTED and verdict.evicted == (many[1],)
-    assert isinstance(driver.query(many[2]), QuerySlot)
-    assert driver.connect("10.0.2.2")[1].evicted == (many[3],)  # not the one with a query in flight
+    assert verdict.placement is Placement.ADMITTED and verdict.evicted == (numbers[1],)
+    assert isinstance(driver.query(numbers[2]), QuerySlot)
+    assert driver.connect("10.0.2.2")[1].evicted == (numbers[3],)  # the third one has a query in flight
 
 
-def test_newcomer_among_equal_addresses_evicts_nobody_and_is_rejected() -> None:
+def test_new_connection_among_equal_addresses_evicts_none_and_is_rejected() -> None:
     driver = ControllerDriver()
     for each in range(30):
         driver.connect(f"10.0.{each % 3}.{each}")
@@ -287,7 +287,7 @@
             is Placement.ADMITTED
         )
         driver.check_invariants()
-    assert driver.admission.slots.by_key["ops"] == 40  # per_address, times the factor of the known
+    assert driver.admission.slots.by_key["ops"] == 40  # per_address times known_factor
 
 
 def test_full_waiting_queue_evicts_from_the_heaviest_address() -> None:
@@ -312,29 +312,30 @@
 
 
 @pytest.mark.parametrize(
-    "make,cap",
+    "make_address,limit",
     [
-        (lambda n: f"fd00:0:0:{n % 256:x}::{n:x}", 20),  # 2,000 addresses of one /56
-        (lambda n: f"fd00:0:0:1::{n:x}", 10),  # of one /64
-        (lambda n: f"10.1.1.{n % 250}", 30),
+        (lambda n: f"fd00:0:0:{n % 256:x}::{n:x}", 20),  # 2,000 addresses in one /56
+        (lambda n: f"fd00:0:0:1::{n:x}", 10),  # 2,000 addresses in one /64
+        (lambda n: f"10.1.1.{n % 250}", 30),  # 250 addresses in one /24
     ],
 )
-def test_addresses_of_one_prefix_count_together(make: object, cap: int) -> None:
+def test_addresses_of_one_prefix_count_together(make_address: object, limit: int) -> None:
     driver = ControllerDriver(capacity=400)
     admitted = sum(
-        driver.connect(make(each))[1].placement is Placement.ADMITTED for each in range(2000)
+        driver.connect(make_address(each))[1].placement is Placement.ADMITTED
+        for each in range(2000)
     )  # type: ignore[operator]
-    assert admitted == cap
+    assert admitted == limit
     assert (
         driver.connect("fd01::1")[1].placement is Placement.ADMITTED
         and driver.connect("10.2.0.1")[1].placement is Placement.ADMITTED
     )
 
 
-def test_rate_is_rejected_and_forgotten_once_it_stops() -> None:
+def test_excessive_rate_is_rejected_until_it_stops() -> None:
     driver = ControllerDriver(replace(SMALL, rate=5.0, memory=2.0))
 
-    def visit(address: str) -> Verdict:
+    def connect_and_close(address: str) -> Verdict:
         number, verdict = driver.connect(address)
         driver.admission.on_connection_closed(number)
         driver.check_invariants()
@@ -343,20 +344,20 @@
     rejected = 0
     for _ in range(1000):
         driver.now += 0.01
-        rejected += visit("10.0.0.1").reason is RejectReason.RATE
+        rejected += connect_and_close("10.0.0.1").reason is RejectReason.RATE
         if driver.number % 40 == 0:
-            assert visit("10.0.0.2").reason is None
+            assert connect_and_close("10.0.0.2").reason is None
     assert rejected > 900
-    last = visit("10.0.0.1")
+    last = connect_and_close("10.0.0.1")
     assert 0.0 < last.retry_after < 1.0  # a rejected connection does not count
     driver.now += last.retry_after + 0.01
-    assert visit("10.0.0.1").reason is None
+    assert connect_and_close("10.0.0.1").reason is None
 
 
 def test_reputation_is_earned_by_time_and_lost_by_misconduct() -> None:
     driver = ControllerDriver()
     number, _ = driver.connect("10.0.0.5")
-    for _ in range(2000):  # a flood of good queries within a second earns a point
+    for _ in range(2000):  # a flood of served queries within one second gains a single point
         slot = driver.query(number)
         assert isinstance(slot, QuerySlot)
         driver.now += 0.0005
@@ -395,8 +396,8 @@
 def test_one_address_gets_half_of_the_query_slots_and_others_still_get_theirs() -> None:
     driver = ControllerDriver(replace(SMALL, queries=1000))
     heavy = [driver.connect("10.0.0.1")[0] for _ in range(10)]
-    taken = sum(isinstance(driver.query(heavy[each % 10]), QuerySlot) for each in range(100))
-    assert taken == 15  # of the thirty that unknown clients may have
+    admitted = sum(isinstance(driver.query(heavy[each % 10]), QuerySlot) for each in range(100))
+    assert admitted == 15  # half of the 30 slots that unknown clients may have
     others = [driver.connect(f"10.0.1.{each}")[0] for each in range(15)]
     assert all(isinstance(driver.query(each), QuerySlot) for each in others)
     known = driver.connect("10.9.0.1")[0]
@@ -410,28 +411,32 @@
         replace(SMALL, queries=1000, reserve=0.0, per_address=1000, per_v4_24=1000), capacity=2000
     )
     numbers = [driver.connect(f"10.0.{each // 200}.{each % 200}")[0] for each in range(200)]
-    taken = 0
-    while isinstance(driver.query(numbers[taken], level=4), QuerySlot):
-        taken += 1
-    assert taken == 32  # four levels of 5% of forty stay free
-    assert isinstance(driver.query(numbers[taken], level=1), QuerySlot)
+    admitted = 0
+    while isinstance(driver.query(numbers[admitted], level=4), QuerySlot):
+        admitted += 1
+    assert admitted == 32  # four levels of 5% of 40 slots stay free
+    assert isinstance(driver.query(numbers[admitted], level=1), QuerySlot)
 
 
 def test_tenant_gets_its_quota_of_the_query_slots() -> None:
     driver = ControllerDriver(replace(SMALL, queries=1000, reserve=0.0))
     numbers = [driver.connect(f"10.0.{each}.1")[0] for each in range(30)]
-    result = [driver.query(each, "a", 0.1) for each in numbers[:6]]
-    assert [isinstance(each, QuerySlot) for each in result] == [True] * 4 + [False] * 2
-    assert isinstance(result[-1], Verdict) and result[-1].reason is RejectReason.TENANT_QUERIES
+    results = [driver.query(each, "a", 0.1) for each in numbers[:6]]
+    assert [isinstance(each, QuerySlot) for each in results] == [True] * 4 + [False] * 2
+    assert isinstance(results[-1], Verdict) and results[-1].reason is RejectReason.TENANT_QUERIES
     assert isinstance(driver.query(numbers[7], "b", 0.1), QuerySlot)
 
 
 def test_idle_timeout_is_shortened_as_slots_fill() -> None:
-    driver, seen = ControllerDriver(capacity=100), []
+    driver, timeouts = ControllerDriver(capacity=100), []
     for each in range(75):
-        seen.append(driver.admission.slots.idle_timeout(60.0))
+        timeouts.append(driver.admission.slots.idle_timeout(60.0))
         driver.connect(f"10.{each}.0.1")
-    assert seen[0] == seen[49] == 60.0 and seen == sorted(seen, reverse=True) and 25 < seen[-1] < 35
+    assert (
+        timeouts[0] == timeouts[49] == 60.0
+        and timeouts == sorted(timeouts, reverse=True)
+        and 25 < timeouts[-1] < 35
+    )
 
 
 def test_byte_budget_leaves_bytes_for_others() -> None:
--- a/tests/admission/test_descriptors.py
+++ b/tests/admission/test_descriptors.py
@@ -1,4 +1,4 @@
-"""The descriptor limit, allocated to its uses."""
+"""Tests of the division of the descriptor limit among its uses."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_forwarded.py
+++ b/tests/admission/test_forwarded.py
@@ -1,4 +1,4 @@
-"""The client of a request by the headers of proxies, as far as hops are trusted."""
+"""Tests of finding a request's client in the headers of trusted proxies."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
             "10.0.0.1",
             {"x-forwarded-for": "1.1.1.1, 203.0.113.7, 10.0.0.2"},
             "203.0.113.7",
-        ),  # what stands before is made up
+        ),  # entries before the first untrusted hop may be forged
         ("10.0.0.1", {"x-forwarded-for": "10.0.0.9, 10.0.0.2"}, "10.0.0.9"),
         ("203.0.113.9", {"x-forwarded-for": "10.0.0.9"}, "203.0.113.9"),
         (
@@ -40,7 +40,7 @@
             "10.0.0.1",
             {"x-forwarded-for": ", ".join(["1.1.1.1"] + ["10.0.0.2"] * 40)},
             "10.0.0.2",
-        ),  # hops are bounded
+        ),  # at most MAX_HOPS hops are read
     ],
 )
 def test_the_client_is_the_nearest_hop_that_is_not_trusted(
--- a/tests/admission/test_heavy_hitters.py
+++ b/tests/admission/test_heavy_hitters.py
@@ -1,4 +1,4 @@
-"""Space-saving counters that decay, against exact counts."""
+"""Tests of the decaying Space-Saving counters against exact counts."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_counts_are_never_too_low_and_lower_bounds_never_too_high(seed: int) -> None:
-    rng, heavy, true, now = random.Random(seed), HeavyHitters(20, 5.0), Counter[bytes](), 50.0
+    rng, counters, exact, now = random.Random(seed), HeavyHitters(20, 5.0), Counter[bytes](), 50.0
     total = 0.0
     for _ in range(3000):
         passed = rng.choice([0.0, 0.01, 0.2])
         now += passed
-        fade = math.exp(-passed / 5.0)
-        for key in true:
-            true[key] *= fade  # type: ignore[assignment]
-        total = total * fade + 1
+        decay = math.exp(-passed / 5.0)
+        for key in exact:
+            exact[key] *= decay  # type: ignore[assignment]
+        total = total * decay + 1
         key = b"k%d" % min(int(rng.expovariate(0.05)), 200)
-        heavy.add(now, key)
-        true[key] += 1
-    for key, count in true.items():
-        assert heavy.lower_bound(now, key) <= count + 1e-6
+        counters.add(now, key)
+        exact[key] += 1
+    for key, count in exact.items():
+        assert counters.lower_bound(now, key) <= count + 1e-6
         if count > total / 20:
-            assert key in heavy
-    for top in heavy.top(now, 5):
-        assert top.count - top.error - 1e-6 <= true[top.key] <= top.count + 1e-6
+            assert key in counters
+    for top in counters.top(now, 5):
+        assert top.count - top.error - 1e-6 <= exact[top.key] <= top.count + 1e-6
 
 
 def test_weights_that_grow_are_scaled_down() -> None:
-    heavy = HeavyHitters(4, 1.0)
+    counters = HeavyHitters(4, 1.0)
     for second in range(2000):
-        heavy.add(float(second), b"a")
-    assert 1.0 < heavy.lower_bound(1999.0, b"a") < 2.0
-    heavy.add(1e9, b"b")
-    assert heavy.lower_bound(1e9, b"a") < 1e-9 and heavy.lower_bound(1e9, b"b") == pytest.approx(
-        1.0
-    )
+        counters.add(float(second), b"a")
+    assert 1.0 < counters.lower_bound(1999.0, b"a") < 2.0
+    counters.add(1e9, b"b")
+    assert counters.lower_bound(1e9, b"a") < 1e-9 and counters.lower_bound(
+        1e9, b"b"
+    ) == pytest.approx(1.0)
--- a/tests/admission/test_proxy_protocol.py
+++ b/tests/admission/test_proxy_protocol.py
@@ -1,4 +1,4 @@
-"""PROXY headers of both versions: complete, incomplete and malformed."""
+"""Tests of the PROXY header parser with complete, incomplete and malformed headers of both versions."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 @settings(max_examples=500, deadline=None, derandomize=True)
 def test_any_bytes_are_a_header_malformed_or_incomplete(data: bytes, head: bytes) -> None:
     try:
-        found = parse_proxy_header(head + data)
+        header = parse_proxy_header(head + data)
     except ProxyHeaderError:
         return
-    if found is None:
+    if header is None:
         assert len(head + data) < 1100
     else:
-        address, length = found
+        address, length = header
         assert length <= len(head + data) and (address is None or len(address) in (4, 16))
 
 
--- a/tests/admission/test_sockets.py
+++ b/tests/admission/test_sockets.py
@@ -1,4 +1,4 @@
-"""Admission on sockets: floods, limits, slow and odd clients; what each of them receives."""
+"""Tests of admission with sockets: floods, limits, slow and malformed clients, and the answers that they receive."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 KNOWN, KEY = "127.0.9.1", "a-secret"
 KEYED = f"authorization: ApiKey {KEY}\r\n"
 SEARCH = "/reports/_search"
-KEPT: list[list[Client]] = []  # of the test that runs
+OPEN_CLIENTS: list[list[Client]] = []  # clients of the current test, referenced so that their sockets stay open
 COUNT = b"GET /reports/_count HTTP/1.1\r\nhost: x\r\n\r\n"
 
 
-def block(**changed: Any) -> str:
+def admission_block(**changed: Any) -> str:
     values = {
         "per_address": 20,
         "per_v4_24": 10_000,
@@ -58,14 +58,14 @@
 
 
 @contextmanager
-def gated(folder: Path, **changed: Any) -> Iterator[Running]:
-    with broker(folder, [0, 1], shards=2, admission=block(**changed)) as run:
+def broker_with_admission(folder: Path, **changed: Any) -> Iterator[Running]:
+    with broker(folder, [0, 1], shards=2, admission=admission_block(**changed)) as run:
         yield run
 
 
 @pytest.fixture
 def run(tmp_path: Path) -> Iterator[Running]:
-    with gated(tmp_path) as running:
+    with broker_with_admission(tmp_path) as running:
         yield running
 
 
@@ -73,24 +73,24 @@
     return socket.create_connection(("127.0.0.1", port), WAIT, (address, 0))
 
 
-def at(run: Running, address: str) -> Client:
+def client_from(run: Running, address: str) -> Client:
     return Client(connect(run.service.server.port, address))
 
 
 def fill(run: Running, address: str, count: int) -> list[Client]:
-    """Connections that have been served once, and are idle."""
-    made = []
+    """Open connections that are idle after one served request each."""
+    clients = []
     for _ in range(count):
-        made.append(at(run, address))
-        assert made[-1]("GET", "/reports/_count").status == 200
-    KEPT.append(made)  # a socket that nobody holds is closed
-    return made
+        clients.append(client_from(run, address))
+        assert clients[-1]("GET", "/reports/_count").status == 200
+    OPEN_CLIENTS.append(clients)  # without a reference the sockets would be closed
+    return clients
 
 
 @pytest.fixture(autouse=True)
-def kept() -> Iterator[None]:
+def release_clients() -> Iterator[None]:
     yield
-    KEPT.clear()
+    OPEN_CLIENTS.clear()
 
 
 def view(run: Running) -> dict[str, Any]:
@@ -99,44 +99,44 @@
 
 
 def test_flood_of_5000_connections_is_answered_while_a_known_client_is_served(run: Running) -> None:
-    """Each of the flood's connections has its final answer; the known client and an ordinary one never notice."""
-    came: Counter[int] = Counter()
-    over = threading.Event()
+    """Each connection of the flood gets a final answer; a known client and an ordinary one are served throughout."""
+    statuses: Counter[int] = Counter()
+    flood_ended = threading.Event()
     port = run.service.server.port
 
     def flood() -> None:
-        kept = []
+        open_sockets = []
         for _ in range(5000):
             sock = connect(port, "127.0.0.66")
             sock.sendall(COUNT)
             client = Client(sock)
             answer = client.read()
-            came[answer.status] += 1
+            statuses[answer.status] += 1
             if answer.status == 200:
-                kept.append(sock)
+                open_sockets.append(sock)
             else:
                 assert answer.headers["retry-after"] and answer.headers["connection"] == "close"
                 assert answer.body["error"]["type"] == "rejected_execution_exception"
                 assert client.rest() == b""
                 sock.close()
-        for sock in kept:
+        for sock in open_sockets:
             sock.close()
-        over.set()
+        flood_ended.set()
 
     thread = threading.Thread(target=flood)
     thread.start()
     served = 0
-    while not over.is_set():
+    while not flood_ended.is_set():
         for address in (KNOWN, "127.0.0.5"):
-            assert at(run, address)("POST", SEARCH).status == 200
+            assert client_from(run, address)("POST", SEARCH).status == 200
             served += 1
     thread.join(WAIT)
-    assert came == {200: 20, 429: 4980} and served > 50
+    assert statuses == {200: 20, 429: 4980} and served > 50
     found = view(run)
     assert found["refused"][0]["address"] == "127.0.0.66"
     assert found["decisions"]["refused: connections of the address"] > 4900
     rejections = [fields for event, fields in run.logged if event == "admission_rejected"]
-    assert 0 < len(rejections) < 400  # sampled: a flood of rejections is no flood of lines
+    assert 0 < len(rejections) < 400  # the log events are sampled
 
 
 def test_flood_that_stops_leaves_no_state(run: Running) -> None:
@@ -144,19 +144,19 @@
         socks = [connect(run.service.server.port, "127.0.0.66") for _ in range(200)]
         for sock in socks:
             sock.close()
-    # All of them have to be accepted first: between two turns those still in the kernel's queue hold no slot yet.
+    # Wait until all are accepted: connections that are still in the kernel's queue have no slot yet.
     until(lambda: run.call(lambda: run.service.gate.accepted) == 600)  # type: ignore[union-attr]
     until(lambda: view(run)["seats"]["unknown"] == 0 and view(run)["lane"] == 0)
     assert run.call(lambda: len(run.service.gate.admission.connections)) == 0  # type: ignore[union-attr]
     assert run.call(lambda: len(run.service.gate.admission.slots.idle)) == 0  # type: ignore[union-attr]
     assert run.call(lambda: run.service.gate.admission.queries.taken) == 0  # type: ignore[union-attr]
-    assert at(run, "127.0.0.66")("GET", "/reports/_count").status == 200
+    assert client_from(run, "127.0.0.66")("GET", "/reports/_count").status == 200
 
 
 def test_connections_opened_and_never_used_are_closed_without_an_answer(run: Running) -> None:
     fill(run, "127.0.0.66", 20)
-    silent = [Client(connect(run.service.server.port, "127.0.0.66")) for _ in range(10)]
-    for each in silent:
+    unused = [Client(connect(run.service.server.port, "127.0.0.66")) for _ in range(10)]
+    for each in unused:
         assert each.rest() == b""
     assert view(run)["silent"]["silent in the lane"] == 10
 
@@ -176,50 +176,52 @@
     )
     assert client.rest() == b""
     assert (
-        at(run, "127.0.0.66")("GET", "/reports/_count").body["error"]["type"]
+        client_from(run, "127.0.0.66")("GET", "/reports/_count").body["error"]["type"]
         == "rejected_execution_exception"
     )
 
 
 def test_rejection_reaches_a_client_that_is_still_sending(run: Running) -> None:
     fill(run, "127.0.0.66", 20)
-    client = at(run, "127.0.0.66")
+    client = client_from(run, "127.0.0.66")
     client.sock.sendall(
         b"POST /reports/_search HTTP/1.1\r\nhost: x\r\ncontent-length: 2000000\r\n\r\n"
     )
     assert client.read().status == 429
-    assert view(run)["lane"] == 1  # it stays open: its body is still to be read off
-    client.sock.sendall(b"x" * 2_000_000)  # read off: a reset could have taken the answer away
+    assert view(run)["lane"] == 1  # the connection stays open until the body has been read
+    # The broker reads and discards the body: closing with unread data would reset the connection and could lose the
+    # answer.
+    client.sock.sendall(b"x" * 2_000_000)
     assert client.sock.recv(1) == b""
     until(lambda: view(run)["lane"] == 0)
 
 
 def test_api_key_admits_where_its_address_is_over_its_limit(run: Running) -> None:
-    held = fill(run, "127.0.0.66", 20)
-    client = at(run, "127.0.0.66")
+    clients = fill(run, "127.0.0.66", 20)
+    client = client_from(run, "127.0.0.66")
     assert client("POST", SEARCH, None, KEYED).status == 200
     assert client("POST", SEARCH, None, KEYED).status == 200
     assert view(run)["seats"]["listed"] == 1
     assert (
-        at(run, "127.0.0.66")("POST", SEARCH, None, "authorization: ApiKey wrong\r\n").status == 429
+        client_from(run, "127.0.0.66")("POST", SEARCH, None, "authorization: ApiKey wrong\r\n").status == 429
     )
-    assert held[0]("GET", "/reports/_count").status == 200
+    assert clients[0]("GET", "/reports/_count").status == 200
 
 
 def test_full_slots_evict_the_longest_idle_connection_and_no_query(run: Running) -> None:
-    """48 of 60 slots are for unknown clients: taken by three addresses, one of which has a query in flight."""
-    gate = threading.Event()
+    """Three addresses, one with a query in flight, take all of the 48 slots (of 60) that unknown clients may have."""
+    release_query = threading.Event()
     heavy = fill(run, "127.0.1.1", 20)
     fill(run, "127.0.1.2", 14)
     fill(run, "127.0.1.3", 14)
 
-    def held(call: Call) -> None:
+    def serve_when_released(call: Call) -> None:
         if not call.probe:
-            gate.wait(WAIT)
+            release_query.wait(WAIT)
         call.serve()
 
     for box in run.boxes:
-        box.script = held
+        box.script = serve_when_released
     heavy[0].ask("POST", SEARCH)
     until(
         lambda: (
@@ -227,66 +229,66 @@
             and view(run)["queries"] == 1
         )
     )
-    newcomer = at(run, "127.0.1.4")
-    newcomer.ask("GET", "/")
-    assert newcomer.read().status == 200
-    assert heavy[1].rest() == b""  # the idlest of those without a query
-    gate.set()
+    new_client = client_from(run, "127.0.1.4")
+    new_client.ask("GET", "/")
+    assert new_client.read().status == 200
+    assert heavy[1].rest() == b""  # the longest idle connection without a query in flight
+    release_query.set()
     assert heavy[0].read().status == 200
     assert view(run)["silent"]["idle, shed"] == 1
 
 
 def test_known_clients_have_their_reserve_when_all_other_slots_are_taken(run: Running) -> None:
-    kept = [fill(run, f"127.0.2.{each}", 1) for each in range(1, 49)]
+    unknown = [fill(run, f"127.0.2.{each}", 1) for each in range(1, 49)]
     assert view(run)["seats"]["unknown"] == 48
-    assert at(run, "127.0.3.1")("GET", "/reports/_count").status == 429
-    known = [at(run, f"127.0.9.{each}") for each in range(1, 13)]
+    assert client_from(run, "127.0.3.1")("GET", "/reports/_count").status == 429
+    known = [client_from(run, f"127.0.9.{each}") for each in range(1, 13)]
     assert [each("POST", SEARCH).status for each in known] == [200] * 12
-    assert view(run)["seats"] == {"unknown": 48, "conduct": 0, "listed": 12} and len(kept) == 48
-    more = at(run, "127.0.9.50")  # beyond the reserve a known client displaces an idle unknown one
-    assert more("POST", SEARCH).status == 200 and view(run)["seats"]["unknown"] == 47
+    assert view(run)["seats"] == {"unknown": 48, "conduct": 0, "listed": 12} and len(unknown) == 48
+    another = client_from(run, "127.0.9.50")  # above the reserve a known client evicts an idle unknown one
+    assert another("POST", SEARCH).status == 200 and view(run)["seats"]["unknown"] == 47
 
 
 def test_known_client_that_floods_is_limited_as_well(run: Running) -> None:
-    answers = []
-    kept = []
+    statuses = []
+    clients = []
     for _ in range(100):
-        client = at(run, KNOWN)
-        answers.append(client("GET", "/reports/_count").status)
-        kept.append(client)
+        client = client_from(run, KNOWN)
+        statuses.append(client("GET", "/reports/_count").status)
+        clients.append(client)
     assert (
-        answers.count(200) == 30 and answers.count(429) == 70
-    )  # of sixty slots: as many as are free
+        statuses.count(200) == 30 and statuses.count(429) == 70
+    )  # of 60 slots it gets as many as remain free
     assert (
-        at(run, "127.0.3.1")("GET", "/").status == 200
-        and at(run, "127.0.9.2")("GET", "/").status == 200
+        client_from(run, "127.0.3.1")("GET", "/").status == 200
+        and client_from(run, "127.0.9.2")("GET", "/").status == 200
     )
 
 
 def test_thousands_of_pipelined_requests_are_served_one_at_a_time(run: Running) -> None:
-    """One is in work at a time, in their order; others are served meanwhile, and memory does not grow with them."""
-    client = at(run, "127.0.0.7")
-    reader: list[int] = []
+    """The requests are served in order, one at a time, and other clients are served at the same time."""
+    client = client_from(run, "127.0.0.7")
+    statuses: list[int] = []
 
     def read() -> None:
         for _ in range(2000):
-            reader.append(client.read().status)
+            statuses.append(client.read().status)
 
     thread = threading.Thread(target=read)
     thread.start()
     client.sock.sendall(COUNT * 2000)
-    most = 0
+    max_queries = 0
     while thread.is_alive():
-        most = max(most, view(run)["queries"])
-        assert at(run, "127.0.0.8")("POST", SEARCH).status == 200
-    assert reader == [200] * 2000 and most <= 2
+        max_queries = max(max_queries, view(run)["queries"])
+        assert client_from(run, "127.0.0.8")("POST", SEARCH).status == 200
+    assert statuses == [200] * 2000 and max_queries <= 2
 
 
 def test_answered_request_releases_its_bytes_though_the_next_has_begun(run: Running) -> None:
-    client = at(run, "127.0.0.7")
+    client = client_from(run, "127.0.0.7")
     body = b'{"query": {"match_all": {}}}' + b" " * 30_000
     first = b"POST /reports/_count HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n"
-    for _ in range(5):  # each time the rest of one and the beginning of the next
+    for _ in range(5):  # each time, the end of one request and the beginning of the next arrive together
         client.sock.sendall(first % len(body) + body + b"GET /reports/_count HT")
         assert client.read().status == 200
         until(lambda: view(run)["bytes"] < 100)
@@ -303,9 +305,9 @@
     ids=["header", "body"],
 )
 def test_slow_senders_in_every_slot_are_answered_and_closed(tmp_path: Path, head: bytes) -> None:
-    """A byte now and then is no progress: each gets its 408, and the slots are free again."""
-    with gated(tmp_path, grace='"300ms"', progress=1000, connections=25, reserve=0.0) as run:
-        slow = [at(run, f"127.0.4.{each % 5 + 1}") for each in range(25)]
+    """Single bytes are below the minimum rate: each client gets a 408, and the slots become free again."""
+    with broker_with_admission(tmp_path, grace='"300ms"', progress=1000, connections=25, reserve=0.0) as run:
+        slow = [client_from(run, f"127.0.4.{each % 5 + 1}") for each in range(25)]
         for each in slow:
             each.sock.sendall(head)
         until(
@@ -316,7 +318,7 @@
                 == 25
             )
         )
-        assert at(run, "127.0.5.1")("GET", "/reports/_count").status == 429  # none of them is idle
+        assert client_from(run, "127.0.5.1")("GET", "/reports/_count").status == 429  # none of them is idle
         stop = threading.Event()
 
         def drip() -> None:
@@ -333,11 +335,11 @@
             stop.set()
             thread.join()
         until(lambda: view(run)["seats"]["unknown"] == 0)
-        assert at(run, "127.0.5.1")("GET", "/reports/_count").status == 200
+        assert client_from(run, "127.0.5.1")("GET", "/reports/_count").status == 200
 
 
 def test_slow_reader_of_a_large_answer_is_closed(tmp_path: Path) -> None:
-    with gated(tmp_path, grace='"300ms"', progress=5_000_000) as run:
+    with broker_with_admission(tmp_path, grace='"300ms"', progress=5_000_000) as run:
 
         def large(call: Call) -> None:
             if call.probe or b'"ids"' not in call.body:
@@ -372,7 +374,7 @@
 
         for box in run.boxes:
             box.script = large
-        client = at(run, "127.0.0.9")
+        client = client_from(run, "127.0.0.9")
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.ask("POST", SEARCH)
         until(
@@ -390,7 +392,7 @@
 def test_limits_lowered_under_present_use_drop_no_connection(run: Running) -> None:
     from dataclasses import replace
 
-    held = fill(run, "127.0.0.66", 20)
+    clients = fill(run, "127.0.0.66", 20)
     run.call(
         lambda: setattr(
             run.service.gate.admission.slots,
@@ -398,35 +400,35 @@
             replace(run.service.gate.settings, per_address=5),
         )
     )  # type: ignore[union-attr]
-    assert at(run, "127.0.0.66")("GET", "/reports/_count").status == 429
-    assert [each("GET", "/reports/_count").status for each in held] == [200] * 20
-    for each in held[:16]:
+    assert client_from(run, "127.0.0.66")("GET", "/reports/_count").status == 429
+    assert [each("GET", "/reports/_count").status for each in clients] == [200] * 20
+    for each in clients[:16]:
         each.sock.close()
     until(lambda: view(run)["seats"]["unknown"] == 4)
-    assert at(run, "127.0.0.66")("GET", "/reports/_count").status == 200
+    assert client_from(run, "127.0.0.66")("GET", "/reports/_count").status == 200
 
 
 # --- proxies
 
 
 def proxied(run: Running, header: bytes) -> Client:
-    client = at(run, "127.0.0.1")
+    client = client_from(run, "127.0.0.1")
     client.sock.sendall(header)
     return client
 
 
 @pytest.fixture
-def behind(tmp_path: Path) -> Iterator[Running]:
-    """A broker behind a layer that speaks PROXY and is trusted; others are not."""
-    with gated(
+def behind_proxy(tmp_path: Path) -> Iterator[Running]:
+    """Run a broker behind a trusted proxy that uses the PROXY protocol; all other peers are not trusted."""
+    with broker_with_admission(
         tmp_path, trusted='["127.0.0.1/32"]', proxy_protocol="true", per_address=3
     ) as running:
         yield running
 
 
-def test_limits_go_by_the_address_in_a_trusted_proxys_header(behind: Running) -> None:
+def test_limits_go_by_the_address_in_a_trusted_proxys_header(behind_proxy: Running) -> None:
     line = b"PROXY TCP4 203.0.113.7 127.0.0.1 5000 9200\r\n"
-    clients = [proxied(behind, line) for _ in range(5)]
+    clients = [proxied(behind_proxy, line) for _ in range(5)]
     assert (
         sorted(each("GET", "/reports/_count").status for each in clients) == [200] * 3 + [429] * 2
     )
@@ -437,11 +439,11 @@
         + socket.inet_aton("203.0.113.8")
         + bytes(8)
     )
-    other = proxied(behind, block)
+    other = proxied(behind_proxy, block)
     assert other("GET", "/reports/_count").status == 200
     local = SIGNATURE + bytes([0x20, 0, 0, 0])
-    assert proxied(behind, local)("GET", "/reports/_count").status == 200
-    connected = {each["address"] for each in view(behind)["connected"]}
+    assert proxied(behind_proxy, local)("GET", "/reports/_count").status == 200
+    connected = {each["address"] for each in view(behind_proxy)["connected"]}
     assert {"203.0.113.7", "203.0.113.8"} <= connected
 
 
@@ -458,32 +460,32 @@
         b"PROXY TCP4 1.2.3.4 5.6.7.8 1 70000\r\n",
     ],
 )
-def test_malformed_proxy_headers_are_answered_with_400(behind: Running, header: bytes) -> None:
-    assert proxied(behind, header).read().status == 400
-    assert proxied(behind, b"PROXY UNKNOWN\r\n")("GET", "/reports/_count").status == 200
-
-
-def test_untrusted_peers_proxy_line_and_forwarded_headers_are_ignored(behind: Running) -> None:
-    stranger = at(behind, "127.0.0.77")
-    stranger.sock.sendall(b"PROXY TCP4 203.0.113.7 127.0.0.1 5000 9200\r\n")
-    assert stranger.read().status == 400
-    stranger.sock.close()
-    until(lambda: view(behind)["seats"]["unknown"] == 0)
-    held = [at(behind, "127.0.0.77") for _ in range(4)]
-    spoofed = [
+def test_malformed_proxy_headers_are_answered_with_400(behind_proxy: Running, header: bytes) -> None:
+    assert proxied(behind_proxy, header).read().status == 400
+    assert proxied(behind_proxy, b"PROXY UNKNOWN\r\n")("GET", "/reports/_count").status == 200
+
+
+def test_untrusted_peers_proxy_line_and_forwarded_headers_are_ignored(behind_proxy: Running) -> None:
+    untrusted = client_from(behind_proxy, "127.0.0.77")
+    untrusted.sock.sendall(b"PROXY TCP4 203.0.113.7 127.0.0.1 5000 9200\r\n")
+    assert untrusted.read().status == 400
+    untrusted.sock.close()
+    until(lambda: view(behind_proxy)["seats"]["unknown"] == 0)
+    clients = [client_from(behind_proxy, "127.0.0.77") for _ in range(4)]
+    statuses = [
         each(
             "GET",
             "/reports/_count",
             None,
-            f"x-forwarded-for: 10.9.8.{place}\r\nforwarded: for=10.1.1.1\r\n",
+            f"x-forwarded-for: 10.9.8.{number}\r\nforwarded: for=10.1.1.1\r\n",
         ).status
-        for place, each in enumerate(held)
+        for number, each in enumerate(clients)
     ]
-    assert sorted(spoofed) == [200] * 3 + [429]
+    assert sorted(statuses) == [200] * 3 + [429]
 
 
 def test_budgets_go_by_the_client_in_a_trusted_proxys_header(tmp_path: Path) -> None:
-    with gated(tmp_path, trusted='["127.0.0.1/32"]') as run:
+    with broker_with_admission(tmp_path, trusted='["127.0.0.1/32"]') as run:
         run.call(lambda: set_limits(run, rate=0.001, burst=2.0))
         assert run.service.graphql_server is not None
         client = Client(connect(run.service.graphql_server.port, "127.0.0.1"))
@@ -504,7 +506,7 @@
 
 def test_bans_and_allowances_survive_a_restart_and_damage_is_logged(tmp_path: Path) -> None:
     state = {"state": '"admission.state"'}
-    with gated(tmp_path, **state) as run:
+    with broker_with_admission(tmp_path, **state) as run:
         admin = run.service.admin_routes.handle
         from stepknot.net.http import Request
 
@@ -524,32 +526,32 @@
             post("/admission/ban", network="127.0.6.1/24") == 400
             and post("/admission/nothing") == 404
         )
-        banned = at(run, "127.0.6.1")("GET", "/", None, KEYED)
+        banned = client_from(run, "127.0.6.1")("GET", "/", None, KEYED)
         assert banned.status == 429 and "banned" in banned.body["error"]["reason"]
         assert post("/admission/allow", network="127.0.6.9/32") == 200
-        assert at(run, "127.0.6.9")("GET", "/").status == 200
-    with gated(tmp_path, **state) as run:
+        assert client_from(run, "127.0.6.9")("GET", "/").status == 200
+    with broker_with_admission(tmp_path, **state) as run:
         assert (
-            at(run, "127.0.6.1")("GET", "/").status == 429
-            and at(run, "127.0.6.9")("GET", "/").status == 200
+            client_from(run, "127.0.6.1")("GET", "/").status == 429
+            and client_from(run, "127.0.6.9")("GET", "/").status == 200
         )
     path = tmp_path / "admission.state"
     path.write_bytes(path.read_bytes()[:-20])
-    with gated(tmp_path, **state) as run:
-        assert at(run, "127.0.6.1")("GET", "/").status == 200
+    with broker_with_admission(tmp_path, **state) as run:
+        assert client_from(run, "127.0.6.1")("GET", "/").status == 200
         assert any(event == "access_lists_load_failed" for event, _ in run.logged)
         assert path.with_suffix(".state.damaged").exists()
 
 
-# --- descriptors, in a process of its own with a lowered limit
+# --- descriptors: a broker in a separate process with a low descriptor limit
 
 
 @contextmanager
-def lowered(
+def broker_with_descriptor_limit(
     folder: Path, limit: int, **changed: Any
 ) -> Iterator[tuple[int, int, subprocess.Popen[bytes], Path]]:
     port, graph, admin = free_ports(3)
-    boxes = [ScriptedBox(), ScriptedBox()]
+    nodes = [ScriptedBox(), ScriptedBox()]
     (folder / "broker.hcl").write_text(
         settings_text(
             port=port,
@@ -558,14 +560,14 @@
             instances=1,
             cells=2,
             shards=2,
-            admission=block(connections=0, **changed),
+            admission=admission_block(connections=0, **changed),
         )
     )
     (folder / "boxes.json").write_bytes(
         orjson.dumps(
             {
                 "boxes": [
-                    {"address": each.address, "cell": place} for place, each in enumerate(boxes)
+                    {"address": each.address, "cell": cell} for cell, each in enumerate(nodes)
                 ]
             }
         )
@@ -586,7 +588,7 @@
         assert process.wait(30) == 0
         assert process.stdout is not None
         process.stdout.close()
-        for each in boxes:
+        for each in nodes:
             each.close()
 
 
@@ -602,18 +604,20 @@
 def test_descriptor_limit_of_128_is_never_exceeded_and_known_clients_are_served(
     tmp_path: Path,
 ) -> None:
-    """Hundreds of addresses take all slots and keep asking for more: budgets hold, nothing spins, and the servers' side
-    has its part.
+    """Clients from 150 addresses take all slots and further ones keep connecting.
+
+    The broker must stay within its descriptor budgets, serve known clients, keep descriptors for connections to
+    servers, and not spin at the limit.
     """
-    with lowered(tmp_path, 128, per_address=4) as (port, admin, process, _log):
-        holders = []
+    with broker_with_descriptor_limit(tmp_path, 128, per_address=4) as (port, admin, process, _log):
+        clients = []
         for each in range(150):
             sock = connect(port, f"127.0.{10 + each // 100}.{each % 100 + 1}")
             sock.sendall(COUNT)
-            holders.append(Client(sock))
-        statuses = Counter(each.read().status for each in holders)
+            clients.append(Client(sock))
+        statuses = Counter(each.read().status for each in clients)
         assert statuses[200] > 20 and statuses[429] > 50 and sum(statuses.values()) == 150
-        begun, cpu = time.monotonic(), cpu_of(process.pid)
+        begin, cpu = time.monotonic(), cpu_of(process.pid)
         rejected = Counter[int]()
         for each in range(300):
             client = Client(connect(port, f"127.0.20.{each % 200 + 1}"))
@@ -624,22 +628,20 @@
             client.sock.close()
             assert descriptors_of(process.pid) <= 128
         assert rejected == {429: 300}
-        idle = time.monotonic()
-        select.select(
-            [], [], [], 1.0
-        )  # held at the limit, with nobody asking: the loop must not spin
-        assert cpu_of(process.pid) - cpu < 0.9 * (time.monotonic() - begun) and idle > begun
-        used = cpu_of(process.pid)
+        idle_begin = time.monotonic()
+        select.select([], [], [], 1.0)  # no requests at the limit: the event loop must not spin
+        assert cpu_of(process.pid) - cpu < 0.9 * (time.monotonic() - begin) and idle_begin > begin
+        idle_cpu = cpu_of(process.pid)
         select.select([], [], [], 1.0)
-        assert cpu_of(process.pid) - used < 0.3
+        assert cpu_of(process.pid) - idle_cpu < 0.3
         sock = connect(admin, "127.0.0.1")
         found = Client(sock)("GET", "/admission").body
         assert (
             found["budgets"]["limit"] == 128
             and found["seats"]["unknown"] <= found["budgets"]["clients"]
         )
-        for holder in holders:
-            holder.sock.close()
+        for client in clients:
+            client.sock.close()
         until(
             lambda: (
                 Client(connect(admin, "127.0.0.1"))("GET", "/admission").body["seats"]["unknown"]
@@ -652,23 +654,23 @@
 def test_spare_descriptor_answers_connections_when_descriptors_run_out(
     tmp_path: Path,
 ) -> None:
-    """The limit is lowered under a running broker: accept fails, and clients are answered, not left waiting."""
-    with lowered(tmp_path, 256, per_address=400, per_v4_24=400) as (port, _, process, _log):
+    """When the limit of a running broker is lowered and accept fails, clients are still answered."""
+    with broker_with_descriptor_limit(tmp_path, 256, per_address=400, per_v4_24=400) as (port, _, process, _log):
         known = Client(connect(port, KNOWN))
         assert known("POST", SEARCH).status == 200
-        now = descriptors_of(process.pid)
-        resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (now, 256))
-        answers = Counter[int]()
+        open_descriptors = descriptors_of(process.pid)
+        resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (open_descriptors, 256))
+        statuses = Counter[int]()
         for _ in range(40):
             client = Client(connect(port, "127.0.0.66"))
             client.ask("GET", "/reports/_count")
             try:
-                answers[client.read().status] += 1
+                statuses[client.read().status] += 1
             except (EOFError, ConnectionResetError):
-                answers[0] += 1
+                statuses[0] += 1
             client.sock.close()
             assert known("POST", SEARCH).status == 200
-        assert answers[429] > 20 and answers[200] == 0
+        assert statuses[429] > 20 and statuses[200] == 0
         cpu = cpu_of(process.pid)
         waiting = [connect(port, "127.0.0.66") for _ in range(5)]
         select.select([], [], [], 1.0)
