--- a/bench/planted_defects/subsets.py
+++ b/bench/planted_defects/subsets.py
@@ -1,4 +1,4 @@
-"""Planted defects of subsets."""
+"""Planted defects in `stepknot/subsets` and its drivers."""
 
 from bench.planted_defects.defect import PlantedDefect
 
@@ -211,8 +211,8 @@
     ),
     PlantedDefect(
         path="stepknot/subsets/cell_selector.py",
-        original="has_room = len(warm) < cell.quota and len(warming_up) < cell.quota",
-        replacement="has_room = True",
+        original="is_below_quota = len(warm) < cell.quota and len(warming_up) < cell.quota",
+        replacement="is_below_quota = True",
         tests=(
             "tests/subsets/test_subset.py::test_nodes_in_slow_start_are_bounded_by_quota_and_rank",
         ),
@@ -220,7 +220,7 @@
     ),
     PlantedDefect(
         path="stepknot/subsets/slow_start.py",
-        original="max(mean + KEPT_DEVIATIONS * math.sqrt(mean * (1.0 - fraction)), 1.0)",
+        original="max(mean + MARGIN_DEVIATIONS * math.sqrt(mean * (1.0 - fraction)), 1.0)",
         replacement="max(mean, 1.0)",
         tests=(
             "tests/subsets/test_slow_start.py::test_equal_views_rarely_exceed_capacity_and_never_the_spare_part",
--- a/stepknot/discovery/__init__.py
+++ b/stepknot/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where the endpoint list comes from: each source hands `ListReceived` watch events to the broker."""
+"""Sources of the endpoint list; each source passes `ListReceived` watch events to the broker."""
--- a/stepknot/discovery/drained_endpoints.py
+++ b/stepknot/discovery/drained_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list with the nodes marked as draining that the fleet's ledger names as drained."""
+"""Marks nodes of the endpoint list as draining if the fleet's ledger names them as drained."""
 
 from __future__ import annotations
 
@@ -9,17 +9,20 @@
 
 
 class DrainedEndpoints:
-    """Stands between a source of the list and its receiver. An entry that the source removed stays removed."""
+    """Passes lists from a source to a receiver and marks drained nodes. An entry that the source removed stays removed.
+
+    Args:
+        on_list: Receives each list and each change.
+    """
 
     def __init__(self, on_list: Callable[[ListReceived], None]) -> None:
-        """`on_list` receives each list and each change."""
         self.on_list = on_list
-        self.entries: dict[str, ServerEntry] = {}  # as the source has them
-        self.drained: frozenset[str] = frozenset()  # by the ledger
+        self.entries: dict[str, ServerEntry] = {}  # entries by server, as received from the source
+        self.drained: frozenset[str] = frozenset()  # drained servers according to the ledger
         self._is_list_received = False
 
     def receive_list(self, event: ListReceived) -> None:
-        """Take a list or a change from the source, and pass it on."""
+        """Receive a list or a change from the source, and pass it on."""
         if event.kind is ListKind.FULL:
             self.entries = {}
             self._is_list_received = True
@@ -31,13 +34,13 @@
         self.on_list(replace(event, entries=tuple(map(self.mark_drained, event.entries))))
 
     def mark_drained(self, entry: ServerEntry) -> ServerEntry:
-        """The entry as the receiver sees it: draining if it is live in the list and drained by the ledger."""
+        """Return the entry for the receiver: draining if it is live in the list and drained according to the ledger."""
         if entry.server in self.drained and entry.state is ServerState.LIVE:
             return replace(entry, state=ServerState.DRAINING)
         return entry
 
     def set_drained(self, servers: Iterable[str]) -> None:
-        """Take the drained nodes from the ledger, and pass on the entries that change."""
+        """Set the nodes that are drained according to the ledger, and pass on the entries that change."""
         before = self.drained
         self.drained = frozenset(servers)
         changed = [
--- a/stepknot/discovery/endpoint_file.py
+++ b/stepknot/discovery/endpoint_file.py
@@ -1,8 +1,8 @@
-"""The endpoint list as a JSON or HCL file that is watched for changes.
+"""Reads the endpoint list from a JSON or HCL file and watches the file for changes.
 
 JSON: `{"boxes": [{"address": "127.0.0.1:9301", "zone": "a", "cell": 0, ...}]}`; HCL: `box "ADDRESS" { zone = "a" }`.
-A box is a node. `state` is live or draining; `up_since` is when the process started, in seconds since 1970 (0: long
-ago). A file that cannot be read or is malformed changes nothing: it is reported, and the last good list stays in force.
+A box is a node. `state` is live or draining; `up_since` is the start time of the process in seconds since 1970 (0: long
+ago). A file that is unreadable or malformed is reported, and the last valid list stays in use.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from stepknot.net.loop import Loop
 
 MAX_NODES = 100_000
-# Start times are converted between clocks whose offset varies by microseconds; within this they are equal.
+# Start times that differ by less count as equal: they are converted between clocks whose offset varies by microseconds.
 MAX_START_DIFFERENCE = 0.001  # seconds
 KNOWN_KEYS = {"address", "zone", "cell", "state", "size", "up_since", "kind"}
 
 
 @dataclass(frozen=True, slots=True)
 class ListRow:
-    """One node as the file has it, and its line (0: not known)."""
+    """One node as given in the file, and its line (0: unknown)."""
 
     line: int
     given: Any
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FileVersion:
-    """What tells a changed file from the one that was read."""
+    """The attributes of a file by which a change is detected."""
 
     mtime_ns: int
     size: int
@@ -45,10 +45,10 @@
 
 
 def read_endpoint_list(path: Path, clock_offset: float) -> dict[str, ServerEntry]:
-    """Read the whole file.
+    """Read the complete file.
 
     Args:
-        path: The file; `.json` is read as JSON, everything else as HCL.
+        path: The file; `.json` is read as JSON, any other suffix as HCL.
         clock_offset: The loop's clock minus the wall clock, in seconds.
 
     Returns:
@@ -60,14 +60,15 @@
     """
     rows = _read_rows(path)
     if len(rows) > MAX_NODES:
-        raise ConfigError([Problem(str(path), 1, "boxes", f"expected {MAX_NODES} at the most")])
+        expected = f"expected at most {MAX_NODES} nodes, not {len(rows)}"
+        raise ConfigError([Problem(str(path), 1, "boxes", expected)])
     entries: dict[str, ServerEntry] = {}
     problems = []
     for position, row in enumerate(rows):
         try:
             entry = _read_entry(row.given, clock_offset)
             if entry.server in entries:
-                raise SettingError(f"{entry.server} is listed twice")
+                raise SettingError(f"expected each address once, but {entry.server} is listed twice")
             entries[entry.server] = entry
         except (SettingError, TypeError, ValueError) as error:
             problems.append(Problem(str(path), row.line, f"boxes[{position}]", str(error)))
@@ -79,7 +80,7 @@
 def diff_endpoint_lists(
     old: dict[str, ServerEntry], new: dict[str, ServerEntry]
 ) -> tuple[ServerEntry, ...]:
-    """The entries of a watch event that leads from the old list to the new one: gone nodes, then changed ones."""
+    """Return the entries of the watch event that turns the old list into the new one: gone nodes, then changed ones."""
     gone = [
         replace(entry, state=ServerState.GONE) for server, entry in old.items() if server not in new
     ]
@@ -88,14 +89,14 @@
 
 
 class EndpointFileWatcher:
-    """Polls the file's version, and reports a snapshot at first and changes from then on.
+    """Polls the file for changes; reports a snapshot first and changes from then on.
 
     Args:
-        loop: Its timers run the polls.
+        loop: The loop whose timers run the polls.
         path: The file.
         interval: Seconds between polls.
         on_list: Receives the watch events.
-        on_error: Receives why the file was not read, at each poll until it can be.
+        on_error: Receives the reason why the file could not be read, at each poll until it can be read.
         wall: The wall clock, in seconds since 1970.
     """
 
@@ -115,7 +116,7 @@
         self._on_list = on_list
         self._on_error = on_error
         self._wall = wall
-        self._version: FileVersion | None = None  # of the file that was read last
+        self._version: FileVersion | None = None  # version of the file that was read last
         self._has_snapshot = False
         self.poll()
 
@@ -138,7 +139,7 @@
             self._on_list(ListReceived(ListKind.FULL, tuple(entries.values())))
             return
         changed = diff_endpoint_lists(self.entries, entries)
-        # An entry that is the same keeps the start time that was read first.
+        # An unchanged entry keeps the start time that was read first.
         self.entries = {
             server: self.entries[server] if _is_same(self.entries.get(server), entry) else entry
             for server, entry in entries.items()
@@ -158,9 +159,9 @@
     try:
         given = orjson.loads(text)["boxes"]
         if not isinstance(given, list):
-            raise TypeError("boxes is no list")
+            raise TypeError("boxes is not a list")
     except (ValueError, KeyError, TypeError) as error:
-        expected = f"expected a JSON list of boxes: {error}"
+        expected = f"expected a JSON object with a list boxes: {error}"
         raise ConfigError([Problem(str(path), 1, "boxes", expected)]) from error
     return given
 
@@ -173,21 +174,21 @@
 
 def _read_entry(given: Any, clock_offset: float) -> ServerEntry:
     if not isinstance(given, dict):
-        raise SettingError("expected an object")
+        raise SettingError(f"expected an object, not {type(given).__name__}")
     unknown = set(given) - KNOWN_KEYS
     if unknown:
         known = ", ".join(sorted(KNOWN_KEYS))
-        raise SettingError(f"unknown key {min(unknown)}; known: {known}")
+        raise SettingError(f"unknown key {min(unknown)}; expected keys among {known}")
     server = given.get("address")
     address(server)
     state, cell = given.get("state", "live"), given.get("cell", 0)
     if state not in ("live", "draining"):
         raise SettingError(f"expected state live or draining, not {state!r}")
     if not isinstance(cell, int) or cell < 0:
-        raise SettingError(f"expected a cell of 0 or more, not {cell!r}")
+        raise SettingError(f"expected cell to be an integer of 0 or more, not {cell!r}")
     up_since = given.get("up_since", 0)
     if not isinstance(up_since, (int, float)):
-        raise SettingError(f"expected up_since in seconds since 1970, not {up_since!r}")
+        raise SettingError(f"expected up_since as a number of seconds since 1970, not {up_since!r}")
     return ServerEntry(
         server=str(server),
         zone=str(given.get("zone", "")),
@@ -200,7 +201,7 @@
 
 
 def _is_same(old: ServerEntry | None, new: ServerEntry) -> bool:
-    """Whether two entries differ by the variation of the clocks' offset at most."""
+    """Return whether two entries are equal, apart from the variation of the clocks' offset."""
     return (
         old is not None
         and abs(old.up_since - new.up_since) < MAX_START_DIFFERENCE
--- a/stepknot/subsets/cell_selector.py
+++ b/stepknot/subsets/cell_selector.py
@@ -1,4 +1,4 @@
-"""Quota and selection of one cell of the index: which of its nodes the subset should have at a time."""
+"""Quota and selection for one cell of the index: determines which of its nodes the subset should contain now."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class CellSelector:
-    """Selects among the indexed nodes of a cell; it keeps no state of its own."""
+    """Selects among the indexed nodes of a cell; it has no mutable state of its own."""
 
     def __init__(self, settings: SubsetSettings, layout: CellLayout, index: EndpointIndex) -> None:
         self._settings = settings
@@ -22,14 +22,17 @@
         self._index = index
 
     def is_warming_up(self, entry: ServerEntry, now: float) -> bool:
-        """Whether a node is in slow start."""
+        """Return whether a node is in slow start."""
         return entry.up_since > 0 and now < entry.up_since + self._layout.warm_up_seconds
 
     def quota(self, number: int, now: float, instances: int) -> int:
-        """How many warm nodes of a cell are wanted: enough if all were warm, and enough of those that are (S1)."""
+        """Return the number of warm nodes to select in a cell (S1).
+
+        It suffices for `size` if all live nodes are warm, and also for the nodes that are actually warm.
+        """
         layout, live_count = self._layout, self._index.live_count
         size = self._settings.size
-        dither = uniform_hash(self._settings.identity, f"\0cell {number}")  # no node has this name
+        dither = uniform_hash(self._settings.identity, f"\0cell {number}")  # not a possible name of a node
         quotas = [
             quota_for_size(number, live_count, layout.cells, layout.reach, size),
             quota_for_holders(live_count(number), self._settings.holders, instances, dither),
@@ -47,9 +50,9 @@
         return max(quotas)
 
     def select(self, number: int, now: float, instances: int) -> list[ServerEntry]:
-        """The live nodes wanted of a cell by its quota (S1 to S3, S8, S9).
+        """Return the live nodes to select in a cell according to its quota (S1 to S3, S8, S9).
 
-        Nodes in slow start follow the warm ones. Their `sharers` is what their capacity is divided by.
+        Nodes in slow start follow the warm ones; their `sharers` is the divisor of their capacity.
         """
         cell = self._index.cells[number]
         share = slow_start_share(cell.quota, cell.live, instances)
@@ -61,13 +64,13 @@
             if not self.is_warming_up(entry, now):
                 warm.append(entry)
                 continue
-            has_room = len(warm) < cell.quota and len(warming_up) < cell.quota
-            if has_room and share.is_eligible(self._index.uniform_hash(entry.server)):
+            is_below_quota = len(warm) < cell.quota and len(warming_up) < cell.quota
+            if is_below_quota and share.is_eligible(self._index.uniform_hash(entry.server)):
                 warming_up.append(replace(entry, sharers=share.divisor))
         return select_warm(warm, cell.quota, self._index.tier) + warming_up
 
     def next_warm_up(self, number: int, now: float) -> float:
-        """When the next node of a cell ends its slow start; 0: none is in slow start."""
+        """Return the time at which the next node of a cell ends its slow start; 0 if none is in slow start."""
         ends = (
             entry.up_since + self._layout.warm_up_seconds
             for entry in self._index.cells[number].ranked
@@ -76,7 +79,7 @@
         return min(ends, default=0.0)
 
     def _warm_count(self, number: int, now: float) -> int:
-        """The number of live nodes of a cell that are not in slow start."""
+        """Return the number of live nodes of a cell that are not in slow start."""
         cell = self._index.cells.get(number)
         ranked = cell.ranked if cell is not None else ()
         return sum(
--- a/stepknot/subsets/endpoint_index.py
+++ b/stepknot/subsets/endpoint_index.py
@@ -1,6 +1,6 @@
-"""The endpoint list by cell, the nodes of each cell ranked for one broker.
+"""The endpoint list by cell, with the nodes of each cell ranked for one broker.
 
-Memory for each node: one reference to the list's own entry, one score and one key; entries are not copied.
+The index stores one reference to the list's own entry, one score and one key per node; it does not copy entries.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from stepknot.subsets.rendezvous import rendezvous_score, uniform_hash
 from stepknot.subsets.selection import tier_of
 
-# Bounds of a node's size as a multiple of the usual capacity; sizes beyond them are replaced by the bound.
+# Bounds of a node's size, as a multiple of the usual capacity; a size outside of them is replaced by the bound.
 MIN_NODE_SIZE = 0.01
 MAX_NODE_SIZE = 100.0
 
@@ -25,12 +25,12 @@
     """The nodes of one cell.
 
     Attributes:
-        ranked: Listed nodes, live and draining, lowest score first.
-        scores: Their scores, in the same order.
-        selected: Nodes of the subset by server, as they were emitted last.
+        ranked: Listed nodes, live and draining, the lowest score first.
+        scores: The scores of `ranked`, in the same order.
+        selected: Nodes of the subset by server, as last emitted.
         live: Number of live nodes.
-        quota: Number of warm nodes wanted when the cell was selected last.
-        warm_at: When the next of its nodes ends its slow start; 0: none is in slow start.
+        quota: Number of warm nodes to select, as of the last selection of the cell.
+        warm_at: Time at which the next of its nodes ends its slow start; 0 if none is in slow start.
     """
 
     ranked: list[ServerEntry] = field(default_factory=list)
@@ -42,16 +42,16 @@
 
 
 class EndpointIndex:
-    """All listed nodes, by cell and by server."""
+    """Indexes all listed nodes by cell and by server."""
 
     def __init__(self, settings: SubsetSettings) -> None:
         self.settings = settings
         self.cells: dict[int, IndexedCell] = {}
         self.entries: dict[str, ServerEntry] = {}
-        self._tiers: dict[str, int] = {}  # of zones that were looked up
+        self._tiers: dict[str, int] = {}  # cached tiers by zone
 
     def tier(self, zone: str) -> int:
-        """The preference of a zone, 0 for the own one."""
+        """Return the tier of a zone; 0 is the broker's own zone."""
         tier = self._tiers.get(zone)
         if tier is None:
             tier = tier_of(zone, self.settings.zone, self.settings.tiers)
@@ -59,24 +59,24 @@
         return tier
 
     def uniform_hash(self, server: str) -> float:
-        """The hash of this broker's identity and a server."""
+        """Return the hash of this broker's identity and a server."""
         return uniform_hash(self.settings.identity, server)
 
     def score(self, entry: ServerEntry) -> float:
-        """The rendezvous score of a node for this broker, weighted by its size and tier."""
+        """Return the rendezvous score of a node for this broker, weighted by the node's size and tier."""
         size = min(max(entry.size, MIN_NODE_SIZE), MAX_NODE_SIZE)
         weight = size * self.settings.near ** -self.tier(entry.zone)
         return rendezvous_score(self.uniform_hash(entry.server), weight)
 
     def get(self, server: str) -> ServerEntry | None:
-        """The list's entry of a server."""
+        """Return the list's entry for a server, or None if it is not listed."""
         return self.entries.get(server)
 
     def rank(self, entry: ServerEntry) -> int:
-        """The position of an indexed node in its cell, found by its score, so that long cells are not searched."""
+        """Return the position of an indexed node in its cell, by a binary search for its score."""
         cell = self.cells[entry.cell]
         position = bisect_left(cell.scores, self.score(entry))
-        while cell.ranked[position].server != entry.server:  # equal scores, such as of a hash of 1
+        while cell.ranked[position].server != entry.server:  # scores can be equal, for example for a hash of 1
             position += 1
         return position
 
@@ -104,16 +104,16 @@
         del self.entries[server]
 
     def live_count(self, number: int) -> int:
-        """The number of live nodes of a cell."""
+        """Return the number of live nodes of a cell."""
         cell = self.cells.get(number)
         return cell.live if cell is not None else 0
 
     def selected_entries(self) -> Iterator[ServerEntry]:
-        """All nodes of the subset, as they were emitted last."""
+        """Iterate over all nodes of the subset, as last emitted."""
         return (entry for cell in self.cells.values() for entry in cell.selected.values())
 
     def selected(self, server: str) -> ServerEntry | None:
-        """A listed node as it was emitted last, if the cell that it is listed in has selected it."""
+        """Return a listed node as last emitted if its present cell has selected it, or else None."""
         entry = self.entries.get(server)
         if entry is None:
             return None
--- a/stepknot/subsets/explanation.py
+++ b/stepknot/subsets/explanation.py
@@ -1,4 +1,4 @@
-"""Why a node is, or is not, in a subset: for operators."""
+"""Explains to operators why a node is or is not in a subset."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SelectionReason:
-    """Why a node is, or is not, in the subset. The names of the fields are the keys of the admin answer.
+    """The reason why a node is or is not in the subset. The field names are the keys of the admin answer.
 
     Attributes:
-        tier: Preference of its zone, 0 for the broker's own.
-        held: Whether it is in the subset.
+        tier: The tier of its zone; 0 is the broker's own zone.
+        held: Whether the node is in the subset.
         word: The reason as a sentence.
-        place: Its rank among the listed nodes of its cell, from 0.
-        nodes: Listed nodes of its cell.
-        live: Live nodes of its cell.
-        quota: Warm nodes wanted of its cell.
-        score: Its rendezvous score; the lowest ranks first.
-        cold_share: The fraction of brokers that may send to it while it is in slow start.
-        sharers: What its capacity is divided by in slow start; 0: it is not in slow start, or not in the subset.
+        place: The node's rank among the listed nodes of its cell, from 0.
+        nodes: Number of listed nodes of its cell.
+        live: Number of live nodes of its cell.
+        quota: Number of warm nodes to select in its cell.
+        score: The node's rendezvous score; the lowest ranks first.
+        cold_share: The fraction of brokers that may send to the node while it is in slow start.
+        sharers: The divisor of the node's capacity in slow start; 0 if it is not in slow start or not in the subset.
     """
 
     server: str
@@ -42,7 +42,7 @@
 
 
 def explain(subset: Subset, server: str, now: float) -> SelectionReason | None:
-    """The reason for one node; None where the list does not name it."""
+    """Return the reason for one node, or None if the list does not name it."""
     entry = subset.index.get(server)
     if entry is None:
         return None
@@ -69,21 +69,24 @@
 
 
 def _sentence(subset: Subset, entry: ServerEntry, rank: int, now: float) -> str:
-    """The reason in words, as `stepknot subset --why` shows it."""
+    """Return the reason as a sentence, which `stepknot subset --why` shows."""
     cell = subset.index.cells[entry.cell]
     share = slow_start_share(cell.quota, cell.live, subset.instances)
     is_selected = entry.server in cell.selected
     is_warming_up = subset.selector.is_warming_up(entry, now)
     if entry.state is not ServerState.LIVE:
         if is_selected:
-            return "it drains; what it has out ends there"
-        return "it drains and is not used"
+            return "the node is draining; its parts in flight end there"
+        return "the node is draining and is not in use"
     if is_warming_up and not share.is_eligible(subset.index.uniform_hash(entry.server)):
-        return "it is cold, and others than this broker warm it"
+        return "the node is in slow start, and this broker is not among those that may send to it"
     if not is_selected:
-        return "enough nodes of the cell are preferred"
+        return "enough nodes of its cell rank higher"
     if is_warming_up:
-        return "it is cold and ranks before the last warm node wanted"
+        return "the node is in slow start and ranks before the last warm node selected"
     if rank < cell.quota:
-        return "it is among the first by preference"
-    return "it stands in for one that is no use now, or for another zone or tier"
+        return "the node is among the highest ranked of its cell"
+    return (
+        "the node replaces a higher ranked one that is unusable now, "
+        "or is needed for a second zone or the nearest tier"
+    )
--- a/stepknot/subsets/list_intake.py
+++ b/stepknot/subsets/list_intake.py
@@ -1,6 +1,6 @@
-"""Watch events that are not in the index yet: unread ones, and the newest entries that were read.
+"""Watch events that are not in the index yet: unread events, and the newest entries that were read from others.
 
-Lists are read in slices; `subset` explains the sliced work.
+Lists are read in slices; the docstring of `subset` explains the sliced work.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 
 from stepknot.interface import ListKind, ListReceived, ServerEntry, ServerState
 
-READ_ENTRIES = 1024  # of a list in one unit of work: 0.3 ms
+READ_ENTRIES = 1024  # maximum number of entries read in one unit of work, which takes 0.3 ms
 
 
 @dataclass(slots=True)
 class ReadList:
-    """A list of which the first `position` entries are in `newest`, by server.
+    """A list that is being read; its first `position` entries are in `newest`, by server.
 
     Attributes:
-        is_snapshot: Whether servers that the list does not name are gone.
+        is_snapshot: Whether the list is complete, so that servers that it does not name are gone.
     """
 
     is_snapshot: bool
@@ -30,15 +30,16 @@
 
 @dataclass(slots=True)
 class PendingEntries:
-    """What was read and is not wholly indexed: the newest entry of each server, over any number of lists.
+    """The newest entry of each server from the lists that were read but are not completely indexed.
 
-    A snapshot replaces all before it and changes are merged into it, so that no older entry is left that could be
-    indexed after a newer one.
+    A snapshot replaces all earlier entries, and changes are merged into the existing ones. An older entry can therefore
+    not be indexed after a newer one.
 
     Attributes:
-        newest: By server.
+        newest: The newest entries by server.
         unindexed: Servers whose entries are not in the index yet.
-        unswept_cells: Cells still to be searched for servers that a snapshot does not name; None: not begun.
+        unswept_cells: Cells still to be searched for servers that a snapshot does not name; None before the search
+            begins.
     """
 
     is_snapshot: bool
@@ -47,7 +48,7 @@
     unswept_cells: deque[int] | None = None
 
     def entry_of(self, entry: ServerEntry) -> ServerEntry | None:
-        """The newest entry of a server; None: the lists that were read do not change what is known of it."""
+        """Return the newest entry of an entry's server, or None if the lists that were read do not change it."""
         newest = self.newest.get(entry.server)
         if newest is None and self.is_snapshot:
             return replace(entry, state=ServerState.GONE)
@@ -55,7 +56,7 @@
 
 
 class ListIntake:
-    """Queue of unread watch events and the pending entries that they are merged into."""
+    """Holds the queue of unread watch events, and the pending entries into which they are merged."""
 
     def __init__(self) -> None:
         self.pending: PendingEntries | None = None
@@ -63,11 +64,11 @@
 
     @property
     def has_unread(self) -> bool:
-        """Whether there are events to read."""
+        """Whether there are unread events."""
         return bool(self._unread)
 
     def enqueue(self, event: ListReceived) -> None:
-        """Queue a watch event. A snapshot replaces unread events before it; long changes are cut into slices."""
+        """Queue a watch event. A snapshot replaces earlier unread events; long changes are cut into slices."""
         if event.kind is not ListKind.CHANGES:
             self._unread.clear()
             self._unread.append(ReadList(True, event.entries))
@@ -76,7 +77,7 @@
             self._unread.append(ReadList(False, event.entries[start : start + READ_ENTRIES]))
 
     def read_slice(self) -> ReadList | None:
-        """Read some entries of the first unread event; returns it once it is read to its end and is pending."""
+        """Read some entries of the first unread event; return the event when it was read completely and merged."""
         read = self._unread[0]
         entries = read.entries[read.position : read.position + READ_ENTRIES]
         read.newest.update((entry.server, entry) for entry in entries)
@@ -88,7 +89,7 @@
         return read
 
     def newest_of(self, entries: Iterable[ServerEntry]) -> list[ServerEntry]:
-        """The pending entries of these servers; servers without one are left out."""
+        """Return the pending entries of these entries' servers, without servers that have none."""
         if self.pending is None:
             return []
         newest = (self.pending.entry_of(entry) for entry in entries)
--- a/stepknot/subsets/selection.py
+++ b/stepknot/subsets/selection.py
@@ -1,4 +1,4 @@
-"""Which nodes of a ranked cell are selected: pure functions of zones and ranks."""
+"""Selects nodes of a ranked cell, with pure functions of zones and ranks."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def tier_of(zone: str, own_zone: str, tiers: Sequence[Sequence[str]]) -> int:
-    """The preference of a zone: 0 for the broker's own, then the named tiers, then all others."""
+    """Return the tier of a zone: 0 for the broker's own zone, then the configured tiers, then all other zones."""
     if zone == own_zone:
         return 0
     for number, tier in enumerate(tiers, start=1):
@@ -20,9 +20,9 @@
 def select_warm(
     ranked: Sequence[ServerEntry], quota: int, tier: Callable[[str], int]
 ) -> list[ServerEntry]:
-    """The first `quota` warm nodes by rank, with one of the nearest tier (S3) and nodes of two zones (S2).
+    """Return the first `quota` warm nodes by rank, including one of the nearest tier (S3) and nodes of two zones (S2).
 
-    Where the first ones do not satisfy this, the last of them gives way to the next one that does.
+    If the first nodes do not satisfy this, the last of them is replaced by the highest ranked other node that does.
     """
     selected = list(ranked[:quota])
     rest = ranked[quota:]
--- a/stepknot/subsets/subset.py
+++ b/stepknot/subsets/subset.py
@@ -1,7 +1,40 @@
-"""One broker's subset: takes watch events of the whole endpoint list, emits watch events of the subset.
+A list may have 100,000 entries, and the broker's loop must not be occupied for longer than a few milliseconds. So
+`on_watch_event` and `set_instances` only queue; the work is done by `advance`, which does one unit and says whether
+there is more. Each unit is bounded, whatever the length of the list. Units are done in this order:
+
+1. *Read* entries of the first unread event into the pending entries (`list_intake`).
+2. *Compare* selected nodes with a snapshot that was read. A cell with a selected node that is no longer live, or is
+   another process, becomes urgent. For changes this is done at once, as part of reading them.
+3. *Select an urgent cell* again, after the pending entries of all its nodes are indexed.
+4. *Index* pending entries, then sweep the cells for nodes that a snapshot does not name.
+5. *Select* a cell again of which entries, quotas, the count of brokers or a slow start changed.
+
+Reading comes first, as only then it is known what is urgent (S7); draining nodes are so emitted, with their
+replacements, long before the rest of a long list is indexed. Events are emitted when they are long enough, when the
+last urgent cell has been selected, and at the end of the work. The caller takes them from `events` in their order.
+The same scheme is used by the driver (turns of the loop) and by its admin answers.
+"""
+====
+"""The subset of one broker: receives watch events of the complete endpoint list and emits watch events of the subset.
 
 Sliced work
 ===========
+A list may have 100,000 entries, and the broker's loop must not be blocked for longer than a few milliseconds.
+`on_watch_event` and `set_instances` therefore only queue. The work is done by `advance`, which does one unit and
+returns whether there is more. Each unit is bounded, whatever the length of the list. Units are done in this order:
+
+1. *Read* entries of the first unread event into the pending entries (`list_intake`).
+2. *Compare* the selected nodes with a snapshot that was read. A cell becomes urgent if one of its selected nodes is no
+   longer live or has been replaced by another process. For changes this is done at once, as part of reading them.
+3. *Select an urgent cell* again, after the pending entries of all its nodes are indexed.
+4. *Index* pending entries, then sweep the cells for nodes that a snapshot does not name.
+5. *Select* a cell again if its entries, its quota, the count of brokers or the slow start of a node changed.
+
+Reading comes first because it shows which cells are urgent (S7). Draining nodes and their replacements are thus emitted
+long before the rest of a long list is indexed. An event is emitted when it has enough entries, when the last urgent
+cell has been selected, and at the end of the work. The caller takes the events from `events` in their order. The driver
+(over iterations of the loop) and its admin answers use the same scheme.
+"""====
 A list may have 100,000 entries, and the broker's loop must not be occupied for longer than a few milliseconds. So
 `on_watch_event` and `set_instances` only queue; the work is done by `advance`, which does one unit and says whether
 there is more. Each unit is bounded, whatever the length of the list. Units are done in this order:
@@ -39,20 +72,21 @@
 )
 from stepknot.subsets.warm_up_schedule import WarmUpSchedule
 
-# Bounds of a unit of work, each with its time at 36,000 nodes in cells of 62.
-COMPARED_CELLS = 64  # whose selected nodes are compared with a snapshot: 0.2 ms
-INDEXED_ENTRIES = 32  # 0.1 ms
-# Entries after which an event is emitted, beside those of one cell: 3 ms for the decision library at 2,300 nodes.
+# Bounds of a unit of work; the times are for 36,000 nodes in cells of 62.
+COMPARED_CELLS = 64  # cells whose selected nodes are compared with a snapshot in one unit: 0.2 ms
+INDEXED_ENTRIES = 32  # entries that are indexed in one unit: 0.1 ms
+# Number of entries at which an event is emitted; the entries of one cell may exceed it. The decision library takes 3 ms
+# for such an event at 2,300 nodes.
 MAX_EVENT_ENTRIES = 128
 
 
 class Subset:
-    """The subset of one broker and the work on it.
+    """Computes the subset of one broker in bounded units of work.
 
     Attributes:
-        events: Watch events of the subset, to be taken and removed by the caller.
-        changes: What changed by cell, to be taken and removed by the caller.
-        left_out: Number of entries that were ignored: they name this broker, or a cell that no shard has.
+        events: Watch events of the subset; the caller takes and removes them.
+        changes: Changes of the subset by cell; the caller takes and removes them.
+        left_out: Number of ignored entries, which name this broker or a cell that does not exist.
         uncompared_cells: Cells whose selected nodes are still to be compared with a snapshot that was read.
         urgent_cells: Cells to be selected before pending entries are indexed, with the cause.
         unemitted: Entries for the next event.
@@ -71,13 +105,14 @@
         self.left_out = 0
         self.uncompared_cells: deque[int] = deque()
         self.urgent_cells: dict[int, ChangeCause] = {}
-        self._stale_cells: dict[int, ChangeCause] = {}  # to be selected after that, with the cause
+        # Cells to be selected after pending entries are indexed, with the cause.
+        self._stale_cells: dict[int, ChangeCause] = {}
         self.unemitted: list[ServerEntry] = []
-        self._first_kind: ListKind | None = None  # of the first event, until it is emitted
+        self._first_kind: ListKind | None = None  # kind of the first event, until that event is emitted
         self._has_list = False
 
     def on_watch_event(self, event: ListReceived) -> None:
-        """Queue a watch event of the endpoint list. A failed call is passed on at once."""
+        """Queue a watch event of the endpoint list. An event of kind `FAILED` is emitted at once."""
         if event.kind is ListKind.FAILED:
             self.events.append(event)
             return
@@ -87,7 +122,7 @@
         self.intake.enqueue(event)
 
     def set_instances(self, instances: int) -> None:
-        """Set the upper bound of the number of brokers; quotas and divisors of slow start follow."""
+        """Set the upper bound of the number of brokers, from which quotas and slow start divisors are derived."""
         instances = _clamp_instances(instances)
         if instances == self.instances:
             return
@@ -97,17 +132,17 @@
 
     @property
     def has_work(self) -> bool:
-        """Whether `advance` has anything to do."""
+        """Whether there is work for `advance`."""
         return bool(
             self._is_changing or self.uncompared_cells or self.unemitted or self._first_kind
         )
 
     def next_warm_up(self) -> float | None:
-        """When a node ends its slow start next; the caller runs `advance` at that time."""
+        """Return when the next node ends its slow start, or None; the caller runs `advance` at that time."""
         return self.warm_ups.next_time()
 
     def advance(self, now: float) -> bool:
-        """Do one unit of work; returns whether there is more."""
+        """Do one unit of work; return whether there is more."""
         for number in self.warm_ups.pop_due(now):
             self._mark_changed(number, ChangeCause.WARM)
         had_urgent_cells = bool(self.urgent_cells)
@@ -117,7 +152,7 @@
         return self.has_work
 
     def run_to_end(self, now: float) -> list[ListReceived]:
-        """Do all work; returns the events."""
+        """Do all work; return the events."""
         while self.advance(now):
             pass
         events, self.events = self.events, []
@@ -127,7 +162,7 @@
 
     @property
     def _is_changing(self) -> bool:
-        """Whether entries may still be selected."""
+        """Whether further work may still change the selected nodes."""
         return bool(
             self.intake.has_unread or self.intake.pending or self.urgent_cells or self._stale_cells
         )
@@ -161,7 +196,10 @@
             self._mark_urgent(cell.selected.values())
 
     def _select_urgent_cell(self, now: float) -> None:
-        """Select by the newest entries: by those in the index, a node that is about to drain might enter (S7)."""
+        """Select an urgent cell after indexing its newest entries.
+
+        With the entries in the index, a node that is draining in a newer list could enter the subset (S7).
+        """
         number = next(iter(self.urgent_cells))
         cause = self.urgent_cells.pop(number)
         cell = self.index.cells[number]
@@ -182,7 +220,7 @@
             self.intake.pending = None
 
     def _select_cell(self, number: int, cause: ChangeCause, now: float) -> None:
-        """Select a cell's nodes again. Nodes that enter are emitted first, then draining ones, then those that left."""
+        """Select a cell's nodes again; emit live nodes that entered or changed, then draining ones, then gone ones."""
         cell = self.index.cells[number]
         cell.quota = self.selector.quota(number, now, self.instances)
         wanted = {
@@ -196,7 +234,7 @@
         changed = [entry for server, entry in wanted.items() if before.get(server) != entry]
         entered = tuple(entry.server for entry in changed if entry.server not in before)
         self.unemitted += sorted(changed, key=lambda entry: entry.state is ServerState.DRAINING)
-        # A node that moved may be selected in its new cell by now.
+        # A node that moved to another cell may already be selected there.
         self.unemitted += [
             replace(entry, state=ServerState.GONE)
             for entry in left
@@ -210,12 +248,12 @@
     # --- the index
 
     def _put_newest(self, entries: Iterable[ServerEntry]) -> None:
-        """Index the pending entries of these servers."""
+        """Index the pending entries of these entries' servers."""
         for entry in self.intake.newest_of(entries):
             self._put(entry)
 
     def _put(self, entry: ServerEntry) -> None:
-        """Index an entry. Entries that cannot be used are treated as gone."""
+        """Index an entry; an entry of this broker or of a cell that does not exist is treated as gone."""
         if entry.server in self.settings.own or not 0 <= entry.cell < self.layout.cells:
             self.left_out += 1
             entry = replace(entry, state=ServerState.GONE)
@@ -236,7 +274,7 @@
     # --- cells to be selected again
 
     def _mark_urgent(self, selected: Iterable[ServerEntry]) -> None:
-        """Mark cells with a selected node that is no longer live, or that restarted and is in slow start (S7)."""
+        """Mark cells as urgent that have a selected node whose state or start time has changed (S7)."""
         pending = self.intake.pending
         if pending is None:
             return
@@ -248,7 +286,7 @@
                 self.urgent_cells.setdefault(entry.cell, ChangeCause.LIST)
 
     def _mark_changed(self, number: int, cause: ChangeCause) -> None:
-        """Mark a cell, and those that hold a shard together with it: their quotas depend on its live nodes."""
+        """Mark a cell as changed, and also the cells that share a shard with it: their quotas depend on its nodes."""
         self._stale_cells.setdefault(number, cause)
         for step in range(1, min(self.layout.reach, self.layout.cells)):
             for other in (number - step, number + step):
--- a/stepknot/subsets/warm_up_schedule.py
+++ b/stepknot/subsets/warm_up_schedule.py
@@ -1,4 +1,4 @@
-"""When cells have to be selected again because a node ends its slow start."""
+"""Schedules the times at which cells must be selected again because a node ends its slow start."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from stepknot.subsets.endpoint_index import EndpointIndex
 
-MAX_TIMES_PER_CELL = 4  # more are of nodes that came and went; the heap is then built anew
+MAX_TIMES_PER_CELL = 4  # with more times than this, mostly outdated ones of removed nodes, the heap is rebuilt
 
 
 class WarmUpSchedule:
-    """A heap of times and cells. A cell's own time is `IndexedCell.warm_at`; other times of it are out of date."""
+    """A heap of times and cells. The valid time of a cell is its `IndexedCell.warm_at`; others are outdated."""
 
     def __init__(self, index: EndpointIndex) -> None:
         self._index = index
@@ -20,18 +20,18 @@
         return len(self._heap)
 
     def next_time(self) -> float | None:
-        """When a node ends its slow start next."""
+        """Return the time at which the next node ends its slow start, or None."""
         return self._heap[0][0] if self._heap else None
 
     def pop_due(self, now: float) -> list[int]:
-        """Remove the times that have come; returns their cells in the order of the times."""
+        """Remove the times up to `now`; return their cells in the order of the times."""
         due = []
         while self._heap and self._heap[0][0] <= now:
             due.append(heapq.heappop(self._heap)[1])
         return due
 
     def set_time(self, number: int, warm_at: float) -> None:
-        """Note when the next node of a cell ends its slow start; 0: none is in slow start."""
+        """Set the time at which the next node of a cell ends its slow start; 0 if none is in slow start."""
         cell = self._index.cells[number]
         if warm_at and warm_at != cell.warm_at:
             heapq.heappush(self._heap, (warm_at, number))
@@ -40,7 +40,7 @@
             self._rebuild()
 
     def _rebuild(self) -> None:
-        """Drop times that are out of date."""
+        """Rebuild the heap without outdated times."""
         cells = self._index.cells.items()
         self._heap = [(cell.warm_at, number) for number, cell in cells if cell.warm_at]
         heapq.heapify(self._heap)
