--- a/bench/trace_packages/subsets.py
+++ b/bench/trace_packages/subsets.py
@@ -251,9 +251,9 @@
         self.loop = Loop(self._clock, on_error=lambda name, error: trace.add(name, str(error)))
         fleet = Settings(60, CELLS, 1, 16, {}, Rules(1.0, 0.2, COLD_TIME, 4.0, 1.0), Limits(3))
         own = SubsetSettings("b0", 3, 8.0, zone="a", tiers=TIERS, own=frozenset({"me:1"}))
-        self.listed = DrainedEndpoints(self._add_event)
+        self.listed = DrainedEndpoints(self._on_event)
         self.driver = SubsetDriver(
-            self.loop, own, fleet, self.listed, self._add_event, lambda _, **fields: self._log(fields)
+            self.loop, own, fleet, self.listed, self._on_event, lambda _, **fields: self._log(fields)
         )
         self.listed.on_list = self.driver.on_watch_event
 
@@ -261,7 +261,7 @@
         self.now += CLOCK_STEP
         return self.now
 
-    def _add_event(self, event: ListReceived) -> None:
+    def _on_event(self, event: ListReceived) -> None:
         self.trace.add(self.loop.turns)
         _add_event(self.trace, event)
 
--- a/tests/subsets/follower.py
+++ b/tests/subsets/follower.py
@@ -1,4 +1,4 @@
-"""A subset with a follower that applies its events as the decision library does, and checks them by S7."""
+"""A follower of a subset that applies its events as the decision library does, and checks them against S7."""
 
 from __future__ import annotations
 
@@ -26,7 +26,12 @@
 
 
 class Follower:
-    """A subset and its reader: `view` is what the events made of it, `truth` the newest entries of the lists."""
+    """A subset with a reader of its events.
+
+    Attributes:
+        view: The nodes according to the events, by server.
+        newest: The newest entries of the lists, by server.
+    """
 
     def __init__(
         self,
@@ -43,7 +48,7 @@
             instances,
         )
         self.view: dict[str, ServerEntry] = {}
-        self.truth: dict[str, ServerEntry] = {}
+        self.newest: dict[str, ServerEntry] = {}
         self.events: list[ListReceived] = []
         self.now = NOW
 
@@ -51,14 +56,14 @@
         entries = tuple(entries)
         self.subset.on_watch_event(ListReceived(kind, entries))
         if kind is not CHANGES:
-            self.truth = {}
-        self.truth |= {entry.server: entry for entry in entries}
+            self.newest = {}
+        self.newest |= {entry.server: entry for entry in entries}
         return self
 
     def advance(self) -> bool:
-        more = self.subset.advance(self.now)
-        found, self.subset.events = self.subset.events, []
-        for event in found:
+        has_more = self.subset.advance(self.now)
+        events, self.subset.events = self.subset.events, []
+        for event in events:
             self.apply(event)
         if not (
             self.subset.intake.has_unread
@@ -68,13 +73,13 @@
             stale = [
                 server
                 for server, entry in self.view.items()
-                if entry.state is LIVE and not self.usable(server)
+                if entry.state is LIVE and not self.is_live(server)
             ]
-            assert not stale or not found, f"live by the module, not by the lists: {stale}"
-        return more
+            assert not stale or not events, f"S7: live in the subset but not in the lists: {stale}"
+        return has_more
 
-    def usable(self, server: str) -> bool:
-        entry = self.truth.get(server)
+    def is_live(self, server: str) -> bool:
+        entry = self.newest.get(server)
         return entry is not None and entry.state is LIVE
 
     def finish(self) -> Follower:
@@ -96,17 +101,17 @@
                 self.view.pop(entry.server, None)
             else:
                 assert entry.state is LIVE or entry.server in self.view, (
-                    f"S7: {entry} drains and enters"
+                    f"S7: draining node enters the subset: {entry}"
                 )
                 self.view[entry.server] = entry
-        # One event has all changes of one selection: no part of it is emitted alone.
-        assert self.view == self.held()
+        # Each event contains all changes of a selection, so the view is complete after each event.
+        assert self.view == self.selected()
 
-    def held(self) -> dict[str, ServerEntry]:
+    def selected(self) -> dict[str, ServerEntry]:
         cells = self.subset.index.cells.values()
         return {server: entry for cell in cells for server, entry in cell.selected.items()}
 
-    def warm(self, entry: ServerEntry) -> bool:
+    def is_warm(self, entry: ServerEntry) -> bool:
         return (
             entry.state is LIVE and not 0 < entry.up_since <= self.now < entry.up_since + COLD_TIME
         )
--- a/tests/subsets/test_config.py
+++ b/tests/subsets/test_config.py
@@ -1,4 +1,4 @@
-"""The `subset` block: values that are accepted or reported with their line, commands, and lazy loading."""
+"""Tests of the `subset` block: accepted values, values reported with their line, commands, and lazy loading."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 TIERS = ("zones {\n", 'zones {\n  tiers = [["a"], ["b", "c"]]\n')
 
 
-def written(tmp_path: Path, block: str, *changes: tuple[str, str]) -> Path:
+def write_settings(tmp_path: Path, block: str, *changes: tuple[str, str]) -> Path:
     text = settings_text(port=9200)
     for old, new in changes:
         assert old in text
@@ -42,32 +42,32 @@
 
 
 def problem(path: Path) -> tuple[str, str, str]:
-    """Of the only problem: its key, what was expected, and the line of the file that it points to."""
+    """Return the key and the expectation of the only problem, and the line of the file to which it refers."""
     with pytest.raises(ConfigError) as caught:
         load(path)
-    (found,) = caught.value.problems
-    return found.key, found.expected, path.read_text().splitlines()[found.line - 1]
+    (only,) = caught.value.problems
+    return only.key, only.expected, path.read_text().splitlines()[only.line - 1]
 
 
 def test_subset_is_absent_without_the_block_or_when_disabled(tmp_path: Path) -> None:
-    assert load(written(tmp_path, "")).subset is None
+    assert load(write_settings(tmp_path, "")).subset is None
     assert (
-        load(written(tmp_path, BLOCK.replace("subset {", "subset {\n  enabled = false"))).subset
+        load(write_settings(tmp_path, BLOCK.replace("subset {", "subset {\n  enabled = false"))).subset
         is None
     )
 
 
 def test_block_is_read_with_zone_and_tiers_of_other_blocks(tmp_path: Path) -> None:
-    found = load(written(tmp_path, BLOCK, TIERS)).subset
-    assert found == SubsetSettings("eu-7", 4, 200.0, 8.0, "a", (("a",), ("b", "c")))
+    subset = load(write_settings(tmp_path, BLOCK, TIERS)).subset
+    assert subset == SubsetSettings("eu-7", 4, 200.0, 8.0, "a", (("a",), ("b", "c")))
 
 
 def test_identity_defaults_to_the_peer_name_and_other_keys_to_defaults(
     tmp_path: Path,
 ) -> None:
-    found = load(written(tmp_path, "subset {}\n" + PEERS)).subset
-    assert found == SubsetSettings("b3", DEFAULT_SIZE, DEFAULT_HOLDERS, DEFAULT_NEAR, "a")
-    both = load(written(tmp_path, BLOCK + PEERS)).subset
+    subset = load(write_settings(tmp_path, "subset {}\n" + PEERS)).subset
+    assert subset == SubsetSettings("b3", DEFAULT_SIZE, DEFAULT_HOLDERS, DEFAULT_NEAR, "a")
+    both = load(write_settings(tmp_path, BLOCK + PEERS)).subset
     assert both is not None and both.identity == "eu-7"
 
 
@@ -75,7 +75,7 @@
     "peers", ["", PEERS.replace('name = "b3"', ""), PEERS.replace("name", "enabled = false\n #")]
 )
 def test_missing_identity_is_rejected(tmp_path: Path, peers: str) -> None:
-    key, expected, line = problem(written(tmp_path, BLOCK.replace('identity = "eu-7"', "") + peers))
+    key, expected, line = problem(write_settings(tmp_path, BLOCK.replace('identity = "eu-7"', "") + peers))
     assert key == "subset.identity" and line.startswith("subset")
     assert expected.startswith("missing: brokers with one identity would use the same nodes")
 
@@ -103,24 +103,24 @@
 def test_invalid_value_is_reported_with_its_line(
     tmp_path: Path, old: str, new: str, key: str, expected: str
 ) -> None:
-    found = problem(written(tmp_path, BLOCK.replace(old, new)))
-    assert found[0] == f"subset.{key}" and expected in found[1] and key in found[2]
+    result = problem(write_settings(tmp_path, BLOCK.replace(old, new)))
+    assert result[0] == f"subset.{key}" and expected in result[1] and key in result[2]
 
 
 def test_size_of_one_is_rejected_with_hedged_requests(tmp_path: Path) -> None:
-    once = ("max_attempts    = 3", "max_attempts    = 1")
+    one_attempt = ("max_attempts    = 3", "max_attempts    = 1")
     key, expected, _ = problem(
-        written(tmp_path, BLOCK.replace("size     = 4", "size     = 1"), once)
+        write_settings(tmp_path, BLOCK.replace("size     = 4", "size     = 1"), one_attempt)
     )
     assert key == "subset.size" and "a second copy goes to another replica" in expected
-    single = (once[0], once[1] + "\n  second_copies = false")
-    found = load(written(tmp_path, BLOCK.replace("size     = 4", "size     = 1"), single)).subset
-    assert found is not None and found.size == 1
+    no_hedging = (one_attempt[0], one_attempt[1] + "\n  second_copies = false")
+    subset = load(write_settings(tmp_path, BLOCK.replace("size     = 4", "size     = 1"), no_hedging)).subset
+    assert subset is not None and subset.size == 1
 
 
 def test_default_size_under_max_attempts_is_reported_at_the_block(tmp_path: Path) -> None:
-    many = ("max_attempts    = 3", "max_attempts    = 9")
-    key, expected, line = problem(written(tmp_path, BLOCK.replace("  size     = 4\n", ""), many))
+    more_attempts = ("max_attempts    = 3", "max_attempts    = 9")
+    key, expected, line = problem(write_settings(tmp_path, BLOCK.replace("  size     = 4\n", ""), more_attempts))
     assert key == "subset.size" and "(9) or more, not 4" in expected and line.startswith("subset")
 
 
@@ -130,24 +130,24 @@
         f"zones {{\n  tiers = {orjson.dumps([[f't{each}'] for each in range(40)]).decode()}\n",
     )
     key, expected, _ = problem(
-        written(tmp_path, BLOCK.replace("near     = 8", "near     = 1000"), tiers)
+        write_settings(tmp_path, BLOCK.replace("near     = 8", "near     = 1000"), tiers)
     )
     assert key == "subset.near" and "41 tiers" in expected
 
 
 def test_duplicate_block_is_reported(tmp_path: Path) -> None:
-    key, expected, _ = problem(written(tmp_path, BLOCK + BLOCK))
+    key, expected, _ = problem(write_settings(tmp_path, BLOCK + BLOCK))
     assert key == "subset" and expected == "given twice"
 
 
 def test_check_command_shows_the_subset(tmp_path: Path) -> None:
-    path = written(tmp_path, "")
+    path = write_settings(tmp_path, "")
     assert "all nodes used" in CliRunner().invoke(cli, ["check", str(path)]).output
     assert (
         orjson.loads(CliRunner().invoke(cli, ["check", str(path), "--json"]).output)["subset"]
         is None
     )
-    path = written(tmp_path, BLOCK)
+    path = write_settings(tmp_path, BLOCK)
     assert (
         "a subset: 4 replicas a shard, as eu-7"
         in CliRunner().invoke(cli, ["check", str(path)]).output
@@ -168,7 +168,7 @@
 
 
 def test_table_and_reason_show_the_answer() -> None:
-    found = {
+    answer = {
         "broker": "demo",
         "identity": "eu-7",
         "zone": "a",
@@ -185,7 +185,7 @@
             {"zone": "a", "tier": 0, "listed": 9, "live": 8, "warm": 4, "cold": 1, "draining": 1}
         ],
     }
-    table = subset_table(as_view(found, SubsetView))
+    table = subset_table(as_view(answer, SubsetView))
     assert (
         "eu-7 in zone a, one of 40 brokers: 2 to 3 warm nodes a cell" in table
         and "3 by the list" in table
@@ -209,12 +209,13 @@
         "cold_share": 0.5,
         "sharers": 20.0,
     }
-    story = explain_node(as_view({"broker": "b", "why": why}, SubsetView))
-    assert story is not None
+    explanation = explain_node(as_view({"broker": "b", "why": why}, SubsetView))
+    assert explanation is not None
     assert (
-        "n1 is in use by b: it is cold" in story and "by preference 2 of 9 nodes of cell 2" in story
+        "n1 is in use by b: it is cold" in explanation
+        and "by preference 2 of 9 nodes of cell 2" in explanation
     )
-    assert "50.00% of brokers may send to it; this one takes a part in 20.0" in story
+    assert "50.00% of brokers may send to it; this one takes a part in 20.0" in explanation
 
 
 @pytest.mark.parametrize(
@@ -234,7 +235,7 @@
 
 
 def test_subset_modules_are_not_loaded_when_disabled(tmp_path: Path) -> None:
-    path = written(tmp_path, "subset {\n  enabled = false\n}\n")
+    path = write_settings(tmp_path, "subset {\n  enabled = false\n}\n")
     code = (
         "import sys, pathlib; from stepknot.cli.serve import make; from stepknot.config.settings import load; "
         f"make(load(pathlib.Path({str(path)!r})), lambda *_, **__: None); "
--- a/tests/subsets/test_driver.py
+++ b/tests/subsets/test_driver.py
@@ -1,7 +1,7 @@
-"""The subset on a loop: sliced work, draining nodes first, the full list after a defect, log events and answers.
+"""Tests of the subset's driver on a loop: sliced work, draining nodes first, the full list after a defect, log events.
 
-The clock advances by a tenth of a millisecond each time it is read, so that work has a duration and runs are
-repeatable. Entries come in as the source of a list hands them to `DrainedEndpoints`.
+The clock advances by a tenth of a millisecond each time it is read, so that work takes time and runs are repeatable.
+Lists enter through `DrainedEndpoints`, as from a real source.
 """
 
 from __future__ import annotations
@@ -34,59 +34,65 @@
 from stepknot.simulation.fleet import free_ports, settings_text
 from stepknot.subsets.model import SubsetSettings
 
-STEP = 0.0001  # seconds for which each look at the clock takes
+CLOCK_STEP = 0.0001  # seconds by which the clock advances each time it is read
 COLD_TIME = 5.0
 ZONES = "abcde"
-TURN = 0.005  # seconds for which queries may wait
+MAX_TURN_SECONDS = 0.005  # maximum time for which queries may wait
 FLEET = Settings(100, 40, 1, 16, {}, Rules(1.0, 0.2, COLD_TIME, 4.0, 1.0), Limits(3))
 OWN = SubsetSettings("b0", size=3, holders=1.0, zone="a", own=frozenset({"127.0.0.1:9200"}))
 
 
 @dataclass
-class World:
-    """A subset between a list and a core; the core's side is what `taken` holds, node by node as it would keep it."""
+class Harness:
+    """A subset driver between a source of lists and a core that records what it receives.
+
+    Attributes:
+        received: The events that the core received.
+        turns: For each of these events, the number of the loop's turn in which it was received.
+        logged: The log events and their fields.
+    """
 
     settings: SubsetSettings = OWN
     fleet: Settings = FLEET
     now: float = 1000.0
-    taken: list[ListReceived] = field(default_factory=list)
-    turns: list[int] = field(default_factory=list)  # of the loop, at which each of these came
-    told: list[tuple[str, dict[str, Any]]] = field(default_factory=list)
+    received: list[ListReceived] = field(default_factory=list)
+    turns: list[int] = field(default_factory=list)
+    logged: list[tuple[str, dict[str, Any]]] = field(default_factory=list)
     errors: list[BaseException] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.loop = Loop(self.clock, on_error=lambda name, error: self.errors.append(error))
         self.listed = DrainedEndpoints(self.take)
-        self.own = SubsetDriver(
+        self.driver = SubsetDriver(
             self.loop,
             self.settings,
             self.fleet,
             self.listed,
             self.take,
-            lambda event, **fields: self.told.append((event, fields)),
+            lambda event, **fields: self.logged.append((event, fields)),
         )
-        self.listed.on_list = self.own.on_watch_event
+        self.listed.on_list = self.driver.on_watch_event
 
     def clock(self) -> float:
-        self.now += STEP
+        self.now += CLOCK_STEP
         return self.now
 
     def take(self, event: ListReceived) -> None:
-        self.taken.append(event)
+        self.received.append(event)
         self.turns.append(self.loop.turns)
 
     def core(self) -> dict[str, ServerEntry]:
-        """What a core holds after all that was handed to it."""
-        found: dict[str, ServerEntry] = {}
-        for event in self.taken:
+        """Return the entries of a core that has received all events."""
+        entries: dict[str, ServerEntry] = {}
+        for event in self.received:
             if event.kind is not ListKind.CHANGES:
-                found = {}
+                entries = {}
             for entry in event.entries:
                 if entry.state is ServerState.GONE:
-                    found.pop(entry.server, None)
+                    entries.pop(entry.server, None)
                 else:
-                    found[entry.server] = entry
-        return found
+                    entries[entry.server] = entry
+        return entries
 
     def full(self, entries: Iterable[ServerEntry]) -> None:
         self.listed.receive_list(ListReceived(ListKind.FULL, tuple(entries)))
@@ -95,22 +101,22 @@
         self.listed.receive_list(ListReceived(ListKind.CHANGES, entries))
 
     def turn(self) -> None:
-        self.loop.again = True  # the poll waits by the machine's clock: it need not
+        self.loop.again = True  # the loop does not wait for the machine's clock
         self.loop.turn()
 
-    def until(self, what: Callable[[], bool], within: int = 10_000) -> int:
-        """Turns until it is so."""
-        for count in range(within):
-            if what():
+    def until(self, condition: Callable[[], bool], max_turns: int = 10_000) -> int:
+        """Run the loop until the condition holds; return the number of turns."""
+        for count in range(max_turns):
+            if condition():
                 return count
             self.turn()
-        raise AssertionError("it did not come to that")
+        raise AssertionError(f"the condition does not hold after {max_turns} turns of the loop")
 
     def settle(self) -> None:
-        self.until(lambda: self.own.slice_timer is None)
+        self.until(lambda: self.driver.slice_timer is None)
 
-    def names(self, event: str) -> list[dict[str, Any]]:
-        return [fields for name, fields in self.told if name == event]
+    def log_fields(self, event: str) -> list[dict[str, Any]]:
+        return [fields for name, fields in self.logged if name == event]
 
 
 def nodes(cells: int = 40, each: int = 10, up_since: float = 0.0) -> list[ServerEntry]:
@@ -123,146 +129,146 @@
     ]
 
 
-def other(each: int = 10) -> list[ServerEntry]:
-    """A list that has nothing in common with `nodes`."""
+def other_nodes(each: int = 10) -> list[ServerEntry]:
+    """Return a list that has no node in common with `nodes`."""
     return [replace(entry, server=f"x{entry.server}") for entry in nodes(each=each)]
 
 
 @pytest.fixture
-def world() -> World:
-    found = World()
-    found.full(nodes())
-    found.turn()
-    return found
+def harness() -> Harness:
+    harness = Harness()
+    harness.full(nodes())
+    harness.turn()
+    return harness
 
 
 def test_first_snapshot_is_one_event_before_the_first_turn() -> None:
-    world = World()
-    world.full(nodes())
-    assert world.turns == [0] and world.taken[0].kind is ListKind.FULL
-    assert len(world.core()) == 40 * 3 and not world.own.subset.has_work
+    harness = Harness()
+    harness.full(nodes())
+    assert harness.turns == [0] and harness.received[0].kind is ListKind.FULL
+    assert len(harness.core()) == 40 * 3 and not harness.driver.subset.has_work
 
 
 def test_first_snapshot_after_the_first_turn_is_handed_over_in_slices() -> None:
-    world = World()
-    world.turn()
-    world.full(nodes())
-    world.settle()
-    assert [event.kind for event in world.taken] == [ListKind.FULL] + [ListKind.CHANGES] * (
-        len(world.taken) - 1
+    harness = Harness()
+    harness.turn()
+    harness.full(nodes())
+    harness.settle()
+    assert [event.kind for event in harness.received] == [ListKind.FULL] + [ListKind.CHANGES] * (
+        len(harness.received) - 1
     )
-    assert len(world.core()) == 40 * 3 and len(world.taken) > 1
+    assert len(harness.core()) == 40 * 3 and len(harness.received) > 1
 
 
-def test_subset_is_the_same_for_a_snapshot_and_for_single_changes(world: World) -> None:
-    bits = World()
-    bits.turn()
+def test_subset_is_the_same_for_a_snapshot_and_for_single_changes(harness: Harness) -> None:
+    stepwise = Harness()
+    stepwise.turn()
     for entry in reversed(nodes()):
-        bits.change(entry)
-    bits.settle()
-    assert bits.core() == world.core()
+        stepwise.change(entry)
+    stepwise.settle()
+    assert stepwise.core() == harness.core()
 
 
-def test_long_list_is_processed_in_slices_within_the_turn_bound(world: World) -> None:
-    world.loop.lag_most, fired, since = 0.0, [], world.loop.turns
-    world.loop.call_later(3 * MAX_SLICE_SECONDS, lambda: fired.append(world.loop.turns))
-    world.change(*(replace(entry, state=ServerState.GONE) for entry in nodes()), *other())
-    world.settle()
-    assert set(world.core()) < {entry.server for entry in other()} and len(world.core()) == 40 * 3
-    assert world.loop.lag_most < TURN and world.own.longest_slice < TURN
-    assert world.loop.turns - since > 10 and fired[0] - since < 5
-    assert max(len(event.entries) for event in world.taken[1:]) <= MAX_HANDED_ENTRIES
-    assert len(set(world.turns)) == len(world.turns), "two events in one turn"
+def test_long_list_is_processed_in_slices_within_the_turn_bound(harness: Harness) -> None:
+    harness.loop.lag_most, fired, since = 0.0, [], harness.loop.turns
+    harness.loop.call_later(3 * MAX_SLICE_SECONDS, lambda: fired.append(harness.loop.turns))
+    harness.change(*(replace(entry, state=ServerState.GONE) for entry in nodes()), *other_nodes())
+    harness.settle()
+    assert set(harness.core()) < {entry.server for entry in other_nodes()} and len(harness.core()) == 40 * 3
+    assert harness.loop.lag_most < MAX_TURN_SECONDS and harness.driver.longest_slice < MAX_TURN_SECONDS
+    assert harness.loop.turns - since > 10 and fired[0] - since < 5
+    assert max(len(event.entries) for event in harness.received[1:]) <= MAX_HANDED_ENTRIES
+    assert len(set(harness.turns)) == len(harness.turns), "two events in one turn"
 
 
 def test_draining_node_is_handed_over_before_a_long_list_is_indexed(
-    world: World,
+    harness: Harness,
 ) -> None:
-    held = next(iter(world.core().values()))
-    world.change(*other(each=200))
-    world.turn()
-    world.listed.set_drained([held.server])
-    turns = world.until(lambda: world.core()[held.server].state is ServerState.DRAINING)
-    assert turns <= 4 and len(world.own.subset.intake.pending.unindexed) > 7000, (
-        "the long list is hardly begun"
+    held = next(iter(harness.core().values()))
+    harness.change(*other_nodes(each=200))
+    harness.turn()
+    harness.listed.set_drained([held.server])
+    turns = harness.until(lambda: harness.core()[held.server].state is ServerState.DRAINING)
+    assert turns <= 4 and len(harness.driver.subset.intake.pending.unindexed) > 7000, (
+        "most of the long list must still be unindexed"
     )
-    replacing = [
+    live_entries = [
         entry
-        for entry in world.core().values()
+        for entry in harness.core().values()
         if entry.cell == held.cell and entry.state is ServerState.LIVE
     ]
-    assert len(replacing) == 3
-    world.settle()
+    assert len(live_entries) == 3
+    harness.settle()
 
 
 @pytest.mark.parametrize("kind", [ListKind.CHANGES, ListKind.FULL])
 def test_replacement_is_never_gone_or_draining_by_the_same_list(
-    world: World, kind: ListKind
+    harness: Harness, kind: ListKind
 ) -> None:
-    """A zone is lost: the best replacements of its nodes are of the same zone."""
+    """When a zone is lost, the highest ranked replacements of its nodes are in the same zone."""
     lost = {entry.server for entry in nodes() if entry.zone == "a"}
     if kind is ListKind.FULL:
-        world.full(entry for entry in nodes() if entry.server not in lost)
+        harness.full(entry for entry in nodes() if entry.server not in lost)
     else:
         states = (ServerState.DRAINING, ServerState.GONE)
-        world.change(
+        harness.change(
             *(
-                replace(entry, state=states[place % 2])
-                for place, entry in enumerate(nodes())
+                replace(entry, state=states[index % 2])
+                for index, entry in enumerate(nodes())
                 if entry.server in lost
             )
         )
-    world.settle()
+    harness.settle()
     entered = {
         entry.server
-        for event in world.taken[1:]
+        for event in harness.received[1:]
         for entry in event.entries
         if entry.state is ServerState.LIVE
     }
     assert entered and not entered & lost
-    assert sum(entry.state is ServerState.LIVE for entry in world.core().values()) == 40 * 3
+    assert sum(entry.state is ServerState.LIVE for entry in harness.core().values()) == 40 * 3
 
 
-def test_gone_node_is_handed_over_after_its_replacement(world: World) -> None:
-    held = next(iter(world.core().values()))
-    world.change(replace(held, state=ServerState.GONE))
-    world.settle()
-    (event,) = world.taken[1:]
+def test_gone_node_is_handed_over_after_its_replacement(harness: Harness) -> None:
+    held = next(iter(harness.core().values()))
+    harness.change(replace(held, state=ServerState.GONE))
+    harness.settle()
+    (event,) = harness.received[1:]
     assert [entry.state for entry in event.entries] == [ServerState.LIVE, ServerState.GONE]
-    assert event.entries[1].server == held.server and len(world.core()) == 40 * 3
-
-
-def test_failed_list_is_handed_over_at_once_and_changes_nothing(world: World) -> None:
-    before = world.core()
-    world.listed.receive_list(ListReceived(ListKind.FAILED))
-    assert world.taken[-1].kind is ListKind.FAILED and world.own.slice_timer is None
-    world.taken.pop()
-    assert world.core() == before
-
-
-def test_slow_start_ends_at_its_time_without_a_list(world: World) -> None:
-    world.full(replace(entry, up_since=world.now) for entry in nodes())
-    world.settle()
-    cold = [entry for entry in world.core().values() if entry.sharers]
-    assert cold and world.own.warm_up_timer is not None
-    world.now += COLD_TIME + 0.1
-    world.until(lambda: not any(entry.sharers for entry in world.core().values()))
-    world.settle()
-    assert len(world.core()) == 40 * 3 and world.own.warm_up_timer is None
-
-
-def test_count_of_brokers_determines_subset_size(world: World) -> None:
-    world = World(replace(OWN, holders=50.0))  # of 100 brokers: half of the list
-    world.full(nodes())
-    world.turn()
-    assert len(world.core()) == 40 * 5
-    world.own.set_instances(50)
-    world.settle()
-    assert len(world.core()) == 40 * 10
-    world.own.set_instances(1000)
-    world.settle()
-    assert len(world.core()) == 40 * 3
-    assert {row["cause"] for row in world.names("subset_changed") if "cause" in row} <= {
+    assert event.entries[1].server == held.server and len(harness.core()) == 40 * 3
+
+
+def test_failed_list_is_handed_over_at_once_and_changes_nothing(harness: Harness) -> None:
+    before = harness.core()
+    harness.listed.receive_list(ListReceived(ListKind.FAILED))
+    assert harness.received[-1].kind is ListKind.FAILED and harness.driver.slice_timer is None
+    harness.received.pop()
+    assert harness.core() == before
+
+
+def test_slow_start_ends_at_its_time_without_a_list(harness: Harness) -> None:
+    harness.full(replace(entry, up_since=harness.now) for entry in nodes())
+    harness.settle()
+    cold = [entry for entry in harness.core().values() if entry.sharers]
+    assert cold and harness.driver.warm_up_timer is not None
+    harness.now += COLD_TIME + 0.1
+    harness.until(lambda: not any(entry.sharers for entry in harness.core().values()))
+    harness.settle()
+    assert len(harness.core()) == 40 * 3 and harness.driver.warm_up_timer is None
+
+
+def test_count_of_brokers_determines_subset_size(harness: Harness) -> None:
+    harness = Harness(replace(OWN, holders=50.0))  # half of the list, as there are 100 brokers
+    harness.full(nodes())
+    harness.turn()
+    assert len(harness.core()) == 40 * 5
+    harness.driver.set_instances(50)
+    harness.settle()
+    assert len(harness.core()) == 40 * 10
+    harness.driver.set_instances(1000)
+    harness.settle()
+    assert len(harness.core()) == 40 * 3
+    assert {row["cause"] for row in harness.log_fields("subset_changed") if "cause" in row} <= {
         "the list",
         "the count of brokers",
     }
@@ -272,197 +278,199 @@
 def test_random_history_leads_to_the_subset_of_a_fresh_broker(
     seed: int,
 ) -> None:
-    """Lists of changes, whole ones, drains by the ledger and counts come while others are still taken in."""
+    """Changes, snapshots, drains by the ledger and counts of brokers arrive while earlier lists are still processed."""
     chance = random.Random(seed)
-    world = World(replace(OWN, holders=30.0))
-    world.full(nodes())
+    harness = Harness(replace(OWN, holders=30.0))
+    harness.full(nodes())
     for _ in range(60):
-        world.turn()
+        harness.turn()
         some = chance.sample(nodes(), chance.choice([1, 5, 100]))
-        what = chance.randrange(5)
-        if what < 2:
+        kind = chance.randrange(5)
+        if kind < 2:
             state = chance.choice(
                 [ServerState.LIVE, ServerState.LIVE, ServerState.DRAINING, ServerState.GONE]
             )
-            since = chance.choice([0.0, world.now - COLD_TIME / 2, world.now])
-            world.change(*(replace(entry, state=state, up_since=since) for entry in some))
-        elif what == 2:
-            world.listed.set_drained(entry.server for entry in some)
-        elif what == 3:
-            world.own.set_instances(chance.choice([40, 100, 300]))
+            since = chance.choice([0.0, harness.now - COLD_TIME / 2, harness.now])
+            harness.change(*(replace(entry, state=state, up_since=since) for entry in some))
+        elif kind == 2:
+            harness.listed.set_drained(entry.server for entry in some)
+        elif kind == 3:
+            harness.driver.set_instances(chance.choice([40, 100, 300]))
         else:
-            world.full(world.listed.entries.values())
-    world.own.set_instances(FLEET.instances)
-    world.settle()
-    fresh = World(replace(OWN, holders=30.0), now=world.now)
-    fresh.listed.drained = world.listed.drained
-    fresh.full(world.listed.entries.values())
-    assert not world.own.fault and live(world) == live(fresh)
-    for each in (world, fresh):
+            harness.full(harness.listed.entries.values())
+    harness.driver.set_instances(FLEET.instances)
+    harness.settle()
+    fresh = Harness(replace(OWN, holders=30.0), now=harness.now)
+    fresh.listed.drained = harness.listed.drained
+    fresh.full(harness.listed.entries.values())
+    assert not harness.driver.fault and live(harness) == live(fresh)
+    for each in (harness, fresh):
         each.now += COLD_TIME + 0.1
         each.until(
             lambda each=each: (
-                each.own.slice_timer is None
+                each.driver.slice_timer is None
                 and not any(  # type: ignore[misc]
                     entry.sharers for entry in each.core().values()
                 )
             )
         )
-    assert live(world) == live(fresh)
+    assert live(harness) == live(fresh)
 
 
-def live(world: World) -> dict[str, float]:
-    """The nodes that new parts may go to, and by how many brokers the budget of each is divided."""
+def live(harness: Harness) -> dict[str, float]:
+    """Return the nodes to which new parts may be sent, with the divisor of each node's budget."""
     return {
         server: entry.sharers
-        for server, entry in world.core().items()
+        for server, entry in harness.core().items()
         if entry.state is ServerState.LIVE
     }
 
 
-# --- a defect of the subset's own
+# --- defects of the subset
 
 
-def broken(entry: ServerEntry) -> ServerEntry:
-    """No source hands out such a thing; it stands for a defect at any place behind."""
+def invalid_entry(entry: ServerEntry) -> ServerEntry:
+    """Return an invalid entry that no source provides, to cause an exception in the subset like a defect would."""
     return replace(entry, server="broken", size="large")  # type: ignore[arg-type]
 
 
-def everything(world: World) -> dict[str, ServerEntry]:
+def full_list(harness: Harness) -> dict[str, ServerEntry]:
     return {
-        server: world.listed.mark_drained(entry) for server, entry in world.listed.entries.items()
+        server: harness.listed.mark_drained(entry) for server, entry in harness.listed.entries.items()
     }
 
 
-def test_core_has_the_full_list_after_a_defect(world: World) -> None:
-    world.change(*(replace(entry, up_since=world.now) for entry in nodes()[:200]))
-    world.settle()
-    assert any(entry.sharers for entry in world.core().values())
-    world.change(replace(nodes()[3], state=ServerState.DRAINING), broken(nodes()[0]))
-    world.until(lambda: bool(world.own.fault))
+def test_core_has_the_full_list_after_a_defect(harness: Harness) -> None:
+    harness.change(*(replace(entry, up_since=harness.now) for entry in nodes()[:200]))
+    harness.settle()
+    assert any(entry.sharers for entry in harness.core().values())
+    harness.change(replace(nodes()[3], state=ServerState.DRAINING), invalid_entry(nodes()[0]))
+    harness.until(lambda: bool(harness.driver.fault))
     assert (
-        world.taken[-1].kind is ListKind.FULL
-        and world.core() == everything(world)
-        and len(world.core()) == 401
+        harness.received[-1].kind is ListKind.FULL
+        and harness.core() == full_list(harness)
+        and len(harness.core()) == 401
     )
-    assert not any(entry.sharers for entry in world.core().values())
-    assert world.core()["n0.3"].state is ServerState.DRAINING
-    (told,) = world.names("subset_disabled")
-    assert "TypeError" in told["reason"] and told["nodes"] == 401 and len(world.errors) == 1
-    world.change(*other(), replace(nodes()[7], state=ServerState.GONE))
-    world.listed.set_drained(["n1.1"])
-    world.own.set_instances(3)
+    assert not any(entry.sharers for entry in harness.core().values())
+    assert harness.core()["n0.3"].state is ServerState.DRAINING
+    (fields,) = harness.log_fields("subset_disabled")
+    assert "TypeError" in fields["reason"] and fields["nodes"] == 401 and len(harness.errors) == 1
+    harness.change(*other_nodes(), replace(nodes()[7], state=ServerState.GONE))
+    harness.listed.set_drained(["n1.1"])
+    harness.driver.set_instances(3)
     for _ in range(10):
-        world.turn()
-    assert world.core() == everything(world) and len(world.core()) == 800
-    assert world.core()["n1.1"].state is ServerState.DRAINING
-    assert len(world.names("subset_disabled")) == 1 and len(world.errors) == 1
+        harness.turn()
+    assert harness.core() == full_list(harness) and len(harness.core()) == 800
+    assert harness.core()["n1.1"].state is ServerState.DRAINING
+    assert len(harness.log_fields("subset_disabled")) == 1 and len(harness.errors) == 1
 
 
 def test_defect_on_the_first_or_a_later_list_falls_back_to_the_full_list() -> None:
-    world = World()
-    world.full([*nodes(), broken(nodes()[0])])
-    assert world.own.fault and world.core() == everything(world) and world.turns == [0]
-    world = World()
-    world.full(nodes())
-    world.turn()
-    world.own.subset.intake = None  # type: ignore[assignment]
-    world.change(replace(next(iter(world.core().values())), state=ServerState.DRAINING))
-    assert world.own.fault and world.core() == everything(world) and len(world.core()) == 400
+    harness = Harness()
+    harness.full([*nodes(), invalid_entry(nodes()[0])])
+    assert harness.driver.fault and harness.core() == full_list(harness) and harness.turns == [0]
+    harness = Harness()
+    harness.full(nodes())
+    harness.turn()
+    harness.driver.subset.intake = None  # type: ignore[assignment]
+    harness.change(replace(next(iter(harness.core().values())), state=ServerState.DRAINING))
+    assert harness.driver.fault and harness.core() == full_list(harness) and len(harness.core()) == 400
 
 
 def test_pending_events_are_dropped_after_falling_back(
-    world: World,
+    harness: Harness,
 ) -> None:
-    world.change(*(replace(entry, state=ServerState.GONE) for entry in nodes()[100:]), *other())
-    world.until(lambda: len(world.own.outgoing) > 1)
-    world.own.fall_back(RuntimeError("planted"))
+    harness.change(*(replace(entry, state=ServerState.GONE) for entry in nodes()[100:]), *other_nodes())
+    harness.until(lambda: len(harness.driver.outgoing) > 1)
+    harness.driver.fall_back(RuntimeError("planted"))
     for _ in range(50):
-        world.turn()
-    assert world.core() == everything(world) and world.taken[-1].kind is ListKind.FULL
+        harness.turn()
+    assert harness.core() == full_list(harness) and harness.received[-1].kind is ListKind.FULL
 
 
-def test_defect_is_shown_in_answer_and_metrics(world: World) -> None:
-    assert {metric.name for metric in world.own.collect()} >= {
+def test_defect_is_shown_in_answer_and_metrics(harness: Harness) -> None:
+    assert {metric.name for metric in harness.driver.collect()} >= {
         "stepknot_subset_held",
         "stepknot_subset_off",
     }
-    world.own.fall_back(RuntimeError("planted"))
-    (off,) = world.own.collect()
+    harness.driver.fall_back(RuntimeError("planted"))
+    (off,) = harness.driver.collect()
     assert off.samples[0].value == 1
-    assert survey(world)["off"] == "RuntimeError: planted" and world.own.explain("n0.0") is None
+    assert report(harness)["off"] == "RuntimeError: planted" and harness.driver.explain("n0.0") is None
 
 
-# --- what is told
+# --- admin answers, log events and metrics
 
 
-def survey(world: World, with_held: bool = False) -> dict[str, Any]:
-    task = world.loop.spawn(world.own.report(with_held))
-    world.until(lambda: task.done)
+def report(harness: Harness, with_held: bool = False) -> dict[str, Any]:
+    task = harness.loop.spawn(harness.driver.report(with_held))
+    harness.until(lambda: task.done)
     assert task.error is None
-    found: dict[str, Any] = task.result
-    return found
+    answer: dict[str, Any] = task.result
+    return answer
 
 
-def test_few_changes_are_logged_one_by_one_and_many_in_one_event(world: World) -> None:
-    (first,) = world.names("subset_changed")
+def test_few_changes_are_logged_one_by_one_and_many_in_one_event(harness: Harness) -> None:
+    (first,) = harness.log_fields("subset_changed")
     assert (
         first["cells"] == 40
         and first["causes"] == {"the list": 40}
         and first["entered_count"] == 120
     )
     assert len(first["first_cells"]) == MAX_LOGGED_CELLS
-    world.told.clear()
-    held = next(iter(world.core().values()))
-    world.change(replace(held, state=ServerState.GONE))
-    world.settle()
-    (told,) = world.names("subset_changed")
+    harness.logged.clear()
+    held = next(iter(harness.core().values()))
+    harness.change(replace(held, state=ServerState.GONE))
+    harness.settle()
+    (fields,) = harness.log_fields("subset_changed")
     assert (
-        told["cell"] == held.cell and told["cause"] == "the list" and told["left"] == [held.server]
+        fields["cell"] == held.cell
+        and fields["cause"] == "the list"
+        and fields["left"] == [held.server]
     )
-    assert told["entered_count"] == told["left_count"] == 1 and told["quota"] == 3
-    world.told.clear()
-    world.change(*(replace(entry, state=ServerState.GONE) for entry in world.core().values()))
-    world.settle()
-    (told,) = world.names("subset_changed")
-    assert told["cells"] == 40 and told["left_count"] == 120
-
-
-def test_own_address_on_the_list_is_logged_once_and_ignored(world: World) -> None:
-    own = ServerEntry("127.0.0.1:9200", "a", 0, ServerState.LIVE)
-    world.change(own)
-    world.change(replace(own, zone="b"))
-    world.settle()
-    (told,) = world.names("own_address_listed")
-    assert told["addresses"] == ["127.0.0.1:9200"] and world.own.subset.left_out == 2
-    assert "127.0.0.1:9200" not in world.core()
-    world.own.fall_back(RuntimeError("planted"))
-    assert "127.0.0.1:9200" not in world.core()
-
-
-def test_answer_shows_zones_quotas_nodes_and_reasons(world: World) -> None:
-    world.change(*(replace(entry, up_since=world.now) for entry in nodes() if entry.zone == "b"))
-    world.settle()
-    found = survey(world, with_held=True)
-    assert [(row.zone, row.tier, row.listed) for row in found["zones"]] == [
+    assert fields["entered_count"] == fields["left_count"] == 1 and fields["quota"] == 3
+    harness.logged.clear()
+    harness.change(*(replace(entry, state=ServerState.GONE) for entry in harness.core().values()))
+    harness.settle()
+    (fields,) = harness.log_fields("subset_changed")
+    assert fields["cells"] == 40 and fields["left_count"] == 120
+
+
+def test_own_address_on_the_list_is_logged_once_and_ignored(harness: Harness) -> None:
+    own_entry = ServerEntry("127.0.0.1:9200", "a", 0, ServerState.LIVE)
+    harness.change(own_entry)
+    harness.change(replace(own_entry, zone="b"))
+    harness.settle()
+    (fields,) = harness.log_fields("own_address_listed")
+    assert fields["addresses"] == ["127.0.0.1:9200"] and harness.driver.subset.left_out == 2
+    assert "127.0.0.1:9200" not in harness.core()
+    harness.driver.fall_back(RuntimeError("planted"))
+    assert "127.0.0.1:9200" not in harness.core()
+
+
+def test_answer_shows_zones_quotas_nodes_and_reasons(harness: Harness) -> None:
+    harness.change(*(replace(entry, up_since=harness.now) for entry in nodes() if entry.zone == "b"))
+    harness.settle()
+    answer = report(harness, with_held=True)
+    assert [(row.zone, row.tier, row.listed) for row in answer["zones"]] == [
         (zone, int(zone != "a"), 80) for zone in ZONES
     ]
-    assert {row.server for row in found["held"]} == set(world.core()) and found[
+    assert {row.server for row in answer["held"]} == set(harness.core()) and answer[
         "quota_greatest"
     ] == 3
-    assert sum(row.warm for row in found["zones"]) == 40 * 3
-    assert sum(row.cold for row in found["zones"]) == sum(
-        entry.sharers > 0 for entry in world.core().values()
+    assert sum(row.warm for row in answer["zones"]) == 40 * 3
+    assert sum(row.cold for row in answer["zones"]) == sum(
+        entry.sharers > 0 for entry in harness.core().values()
     )
-    why = world.own.explain(next(iter(world.core())))
-    assert why is not None and why["held"] and world.own.explain("nobody") is None
-    assert "held" not in survey(world)
+    why = harness.driver.explain(next(iter(harness.core())))
+    assert why is not None and why["held"] and harness.driver.explain("unlisted") is None
+    assert "held" not in report(harness)
 
 
-def test_metrics_have_bounded_labels_and_correct_counts(world: World) -> None:
+def test_metrics_have_bounded_labels_and_correct_counts(harness: Harness) -> None:
     rows = {
         (sample.name, *sample.labels.values()): sample.value
-        for metric in world.own.collect()
+        for metric in harness.driver.collect()
         for sample in metric.samples
     }
     assert rows["stepknot_subset_listed",] == rows["stepknot_subset_live",] == 400
@@ -476,27 +484,27 @@
 def test_broker_has_its_subset_before_the_first_turn_and_follows_the_count(
     tmp_path: Path,
 ) -> None:
-    """`holders` 2 of 4 brokers: half of ten replicas; of one broker all."""
-    own, admin, graph = free_ports(3)
+    """With `holders` = 2, one of 4 brokers uses half of ten replicas, and a single broker uses all."""
+    port, admin, graph = free_ports(3)
     rows = [
         {"address": f"10.0.{cell}.{number}:9200", "zone": ZONES[number % 5], "cell": cell}
         for cell in range(4)
         for number in range(10)
-    ] + [{"address": f"127.0.0.1:{port}", "zone": "a", "cell": 0} for port in (own, admin, graph)]
+    ] + [{"address": f"127.0.0.1:{each}", "zone": "a", "cell": 0} for each in (port, admin, graph)]
     (tmp_path / "boxes.json").write_bytes(orjson.dumps({"boxes": rows}))
     (tmp_path / "broker.hcl").write_text(
         settings_text(
-            port=own,
+            port=port,
             admin=admin,
             graph=graph,
             instances=4,
             subset='subset {\n  identity = "b0"\n  holders = 2\n}\n',
         )
     )
-    told: list[str] = []
-    service = make(load(tmp_path / "broker.hcl"), lambda event, **fields: told.append(event))
+    logged: list[str] = []
+    service = make(load(tmp_path / "broker.hcl"), lambda event, **fields: logged.append(event))
     assert service.loop.turns == 0 and len(service.core.servers) == 4 * 5
-    assert told.count("own_address_listed") == 1 and len(service.endpoints.entries) == 43
+    assert logged.count("own_address_listed") == 1 and len(service.endpoints.entries) == 43
     service.loop.again = True
     service.loop.turn()
     service.set_instance_count(1)
--- a/tests/subsets/test_processes.py
+++ b/tests/subsets/test_processes.py
@@ -1,7 +1,7 @@
-"""Three broker processes, each with two of five replicas a shard, while nodes crash, drain and start cold.
+"""Tests of subsets with three broker processes, each of which uses two of five replicas per shard.
 
-A zone is lost, a list comes late, and brokers stop and start again. Checked are the brokers' admin answers and the
-nodes' sockets. Queries run all the time; each gets its answer.
+Nodes crash, drain and start cold, a zone is lost, a list arrives late, and brokers stop and start again. The tests
+check the brokers' admin answers and the nodes' sockets. Queries run throughout, and each gets its answer.
 """
 
 from __future__ import annotations
@@ -30,26 +30,27 @@
 
 CELLS, REPLICAS, SIZE = 2, 5, 2
 COLD_TIME = 4.0  # seconds
-GRACE = 1.0  # seconds: of the fleet's settings
-LIST_TIME = 0.5  # seconds in which a broker may be expected to have read a list, on a busy machine
-# A count under the configured one is believed once a process is as old as a tombstone.
+GRACE = 1.0  # seconds, from the fleet's settings
+LIST_TIME = 0.5  # seconds within which a broker reads a new list, even on a busy machine
+# A process uses a count below the configured one only when it is as old as a tombstone.
 PEERS = {"period": 0.25, "pause": 2.0, "tombstone": 20.0}
-# With three brokers two replicas are wanted of each cell by `size`; with fewer brokers more, by `holders`.
+# With three brokers, `size` determines a quota of two replicas per cell; with fewer brokers, `holders` gives more.
 SUBSET = {"size": SIZE, "holders": 1.0}
-LATE = "b2"  # its list is a file of its own
+LATE = "b2"  # the broker that reads a list file of its own
 
 
 class Subsets(Brokers):
-    """The fleet as these tests see it."""
+    """The fleet with access to the brokers' subsets and the nodes' sockets."""
 
     def __init__(self, fleet: Fleet, links: Any) -> None:
         super().__init__(fleet, links)
-        self.late = False
-        self.usual: dict[str, set[str]] = {}  # what each uses of the whole list, none of it cold
+        self.late = False  # whether updates of the late broker's list are suspended
+        # The subset of each broker for the complete list without cold nodes.
+        self.usual: dict[str, set[str]] = {}
         self.fleet.on_list = lambda rows, before: self.copy_list()
 
     def copy_list(self) -> None:
-        """The late broker's list, written as the other one is."""
+        """Copy the list to the late broker's file, unless `late` is set."""
         if not self.late:
             own = self.fleet.folder / "late.json"
             own.with_suffix(".new").write_bytes((self.fleet.folder / "boxes.json").read_bytes())
@@ -69,7 +70,7 @@
         return {name: self.held(name) for name in self.running()}
 
     def first_held(self, name: str) -> set[str]:
-        """Those in use for their place by preference: they are in use also while they are cold."""
+        """Return the used nodes that rank among the first `SIZE`; these are used even while they are cold."""
         admin = "127.0.0.1", self[name].admin
         return {
             server
@@ -83,7 +84,7 @@
         )
 
     def live(self, name: str) -> int:
-        """Live nodes on this broker's list."""
+        """Return the number of live nodes in this broker's list."""
         return sum(row["live"] for row in self.subset(name)["zones"])
 
     def story(self) -> dict[str, Any]:
@@ -93,7 +94,7 @@
         return next(box for box in self.fleet.boxes if box.address == address)
 
     def calls(self, box: Box, since: float = 0.0, broker: str = "") -> list[float]:
-        """When parts came to this node's socket: all brokers', or one's."""
+        """Return the times at which the node's socket received parts, from all brokers or from one."""
         path = self.fleet.folder / f"box-{box.number}.tap"
         agent = f"/{self[broker].port}" if broker else ""
         return [
@@ -103,7 +104,7 @@
         ]
 
     def restart(self, *boxes: Box) -> None:
-        """Start them cold, and list them once they serve."""
+        """Start nodes cold, and list them once they serve."""
         for box in boxes:
             self.fleet.start_box(box, cold=True)
         for box in boxes:
@@ -146,21 +147,21 @@
     for broker in fleet.brokers:
         broker.peers |= PEERS
         broker.subset |= SUBSET
-    found = Subsets(fleet, links)
+    subsets = Subsets(fleet, links)
     try:
         fleet.start(lambda text: None)
-        path = fleet.folder / f"broker-{found[LATE].number}.hcl"
+        path = fleet.folder / f"broker-{subsets[LATE].number}.hcl"
         path.write_text(path.read_text().replace('"boxes.json"', '"late.json"'))
-        found.end(LATE, by=signal.SIGTERM)
-        found.start(LATE)
-        yield found
+        subsets.end(LATE, by=signal.SIGTERM)
+        subsets.start(LATE)
+        yield subsets
     finally:
         fleet.stop()
 
 
 @pytest.fixture
 def brokers(running: Subsets) -> Subsets:
-    """All up and listed, none cold, and each broker uses what it uses of the whole list."""
+    """Restore the initial state: all processes run, all nodes are listed and warm, all subsets are the usual ones."""
     running.late = False
     for name in list(running.stopped):
         running.start(name)
@@ -181,14 +182,14 @@
     since = time.monotonic()
     brokers.watch(2.0)
     for name in brokers.names:
-        found = brokers.subset(name)
-        assert found["identity"] == name and found["quota_least"] == found["quota_greatest"] == SIZE
+        answer = brokers.subset(name)
+        assert answer["identity"] == name and answer["quota_least"] == answer["quota_greatest"] == SIZE
         for cell in range(CELLS):
-            zones = {row["zone"] for row in found["held"] if row["cell"] == cell}
+            zones = {row["zone"] for row in answer["held"] if row["cell"] == cell}
             assert len(zones) == SIZE and brokers[name].zone in zones
-        asked = [box for box in brokers.fleet.boxes if brokers.calls(box, since, name)]
-        assert {box.cell for box in asked} == set(range(CELLS))
-        assert {box.address for box in asked} <= brokers.held(name)
+        called = [box for box in brokers.fleet.boxes if brokers.calls(box, since, name)]
+        assert {box.cell for box in called} == set(range(CELLS))
+        assert {box.address for box in called} <= brokers.held(name)
 
 
 def test_crashed_node_is_replaced_and_returns_after_slow_start(
@@ -220,16 +221,16 @@
 ) -> None:
     before = brokers.usual
     boxes = [box for box in brokers.fleet.boxes if box.cell == 0 and box.address in before["b0"]]
-    gone, seen = {box.address for box in boxes}, len(brokers.events("b0", "node_listed"))
+    draining, seen = {box.address for box in boxes}, len(brokers.events("b0", "node_listed"))
     for box in boxes:
         box.draining = True
     brokers.fleet.write_list()
     drained = time.monotonic()
-    brokers.until(lambda: brokers.held("b0", "draining") == gone)
+    brokers.until(lambda: brokers.held("b0", "draining") == draining)
     new = [brokers.box(address) for address in brokers.held("b0") - before["b0"]]
     assert len(new) == SIZE and brokers.per_cell("b0", "warm") == dict.fromkeys(range(CELLS), SIZE)
     listed = [row["server"] for row in brokers.events("b0", "node_listed")[seen:]]
-    assert set(listed) == gone | {box.address for box in new} and set(listed[:SIZE]) == {
+    assert set(listed) == draining | {box.address for box in new} and set(listed[:SIZE]) == {
         box.address for box in new
     }
     brokers.until(lambda: any(brokers.calls(box, drained, "b0") for box in new))
@@ -324,8 +325,8 @@
     unused = next(
         box.address for box in brokers.fleet.boxes if box.address not in brokers.held("b0")
     )
-    told = run("subset", admin, "--why", unused).stdout
-    assert "not in use" in told and "enough nodes of the cell are preferred" in told
+    output = run("subset", admin, "--why", unused).stdout
+    assert "not in use" in output and "enough nodes of its cell rank higher" in output
     unknown = run("subset", admin, "--why", "10.9.9.9:1")
     assert unknown.returncode == 2 and "the list has no node 10.9.9.9:1" in unknown.stderr
 
--- a/tests/subsets/test_selection.py
+++ b/tests/subsets/test_selection.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing, quotas and the selection among a cell's nodes: pure functions."""
+"""Tests of rendezvous hashing, quotas and the selection among a cell's nodes."""
 
 from __future__ import annotations
 
@@ -41,19 +41,19 @@
 
 
 def test_hashes_of_similar_names_are_uniform_and_independent() -> None:
-    """Each pair of neighbouring brokers shares as many nodes of the first tenth as chance has it."""
+    """Of the nodes in its lowest tenth, each broker has as many in common with the next broker as chance predicts."""
     nodes = [f"10.0.{number // 250}.{number % 250}:9300" for number in range(2000)]
-    held = [
+    lowest = [
         {node for node in nodes if uniform_hash(f"broker-{number}", node) < 0.1}
         for number in range(50)
     ]
-    assert all(abs(len(each) - 200) < 5 * math.sqrt(180) for each in held)
-    common = [len(one & other) for one, other in pairwise(held)]
+    assert all(abs(len(each) - 200) < 5 * math.sqrt(180) for each in lowest)
+    common = [len(one & other) for one, other in pairwise(lowest)]
     assert all(abs(each - 20) < 5 * math.sqrt(20) for each in common)
 
 
 def test_lowest_score_is_won_in_proportion_to_weight() -> None:
-    """A node of twice the weight wins two races of three."""
+    """A node with twice the weight of another has the lower score in two of three cases."""
     won = sum(
         rendezvous_score(uniform_hash("b", f"x{number}"), 2.0)
         < rendezvous_score(uniform_hash("b", f"y{number}"), 1.0)
@@ -84,10 +84,10 @@
     ]
     assert min(quotas) >= MIN_CELL_QUOTA
     for shard in range(cells):
-        mine = cells_of_shard(shard, cells, reach)
-        assert len(set(mine)) == len(mine) == min(reach, cells)
-        assert sum(min(quotas[cell], live[cell]) for cell in mine) >= min(
-            size, sum(live[cell] for cell in mine)
+        shard_cells = cells_of_shard(shard, cells, reach)
+        assert len(set(shard_cells)) == len(shard_cells) == min(reach, cells)
+        assert sum(min(quotas[cell], live[cell]) for cell in shard_cells) >= min(
+            size, sum(live[cell] for cell in shard_cells)
         )
 
 
@@ -96,37 +96,38 @@
     live: int, holders: float, instances: int
 ) -> None:
     exact = min(holders * live / instances, live)
-    found = [
+    quotas = [
         quota_for_holders(live, holders, instances, dither / 1000 + 0.0005)
         for dither in range(1000)
     ]
-    assert max(found) <= live and abs(sum(found) / 1000 - exact) <= 0.002
+    assert max(quotas) <= live and abs(sum(quotas) / 1000 - exact) <= 0.002
 
 
-ZONED = st.lists(st.sampled_from("abcd"), max_size=12)
+ZONES = st.lists(st.sampled_from("abcd"), max_size=12)
 
 
-@given(ZONED, st.integers(MIN_CELL_QUOTA, 6))
+@given(ZONES, st.integers(MIN_CELL_QUOTA, 6))
 def test_selection_is_the_first_ranked_except_for_zone_and_tier(zones: str, quota: int) -> None:
     ranked = [
-        ServerEntry(f"n{place}", zone, 0, ServerState.LIVE) for place, zone in enumerate(zones)
+        ServerEntry(f"n{rank}", zone, 0, ServerState.LIVE) for rank, zone in enumerate(zones)
     ]
-    chosen = select_warm(ranked, quota, "abcd".index)
-    assert len({entry.server for entry in chosen}) == len(chosen) == min(quota, len(ranked))
+    selected = select_warm(ranked, quota, "abcd".index)
+    assert len({entry.server for entry in selected}) == len(selected) == min(quota, len(ranked))
     if not ranked:
         return
-    assert min(entry.zone for entry in chosen) == min(zones)  # S3
-    assert len({entry.zone for entry in chosen}) >= min(2, len(set(zones)), quota)  # S2
-    assert len(set(chosen) - set(ranked[:quota])) <= 1
-    for entry in set(chosen) - set(ranked[:quota]):  # and it is the first that serves
+    assert min(entry.zone for entry in selected) == min(zones)  # S3
+    assert len({entry.zone for entry in selected}) >= min(2, len(set(zones)), quota)  # S2
+    assert len(set(selected) - set(ranked[:quota])) <= 1
+    # A replacement is the highest ranked node that satisfies the invariants.
+    for entry in set(selected) - set(ranked[:quota]):
         better = ranked[quota : ranked.index(entry)]
-        rest = [each.zone for each in chosen if each is not entry]
+        rest = [each.zone for each in selected if each is not entry]
         assert all(each.zone in rest or each.zone > entry.zone == min(zones) for each in better)
 
 
 @pytest.mark.parametrize("quota", [2, 4])
 def test_selection_keeps_rank_order_that_satisfies_zone_and_tier(quota: int) -> None:
     ranked = [
-        ServerEntry(f"n{place}", zone, 0, ServerState.LIVE) for place, zone in enumerate("baccdd")
+        ServerEntry(f"n{rank}", zone, 0, ServerState.LIVE) for rank, zone in enumerate("baccdd")
     ]
     assert select_warm(ranked, quota, "abcd".index) == ranked[:quota]
--- a/tests/subsets/test_slow_start.py
+++ b/tests/subsets/test_slow_start.py
@@ -1,4 +1,7 @@
-"""S8: however views differ, brokers together send a cold node its budget at most. Proof: subsets/slow_start.py."""
+"""Tests of S8: whatever the brokers' views, they together send a cold node at most its budget.
+
+The proof is in `stepknot/subsets/slow_start.py`.
+"""
 
 from __future__ import annotations
 
@@ -12,15 +15,15 @@
 from stepknot.simulation.cold import play
 from stepknot.simulation.cold_tails import View, mean_and_deviation, over, pmf
 from stepknot.subsets.rendezvous import uniform_hash
-from stepknot.subsets.slow_start import KEPT_DEVIATIONS, slow_start_share
+from stepknot.subsets.slow_start import MARGIN_DEVIATIONS, slow_start_share
 
 pytestmark = pytest.mark.cpu_only
 
-SPARE = 1 / COLD_UTILIZATION  # of the budget: what the module leaves free of it
+SPARE = 1 / COLD_UTILIZATION  # the node's capacity as a multiple of the budget that the decision library uses
 
 
 def quota(brokers: int, live: int = 62, size: int = 4, holders: float = 256.0) -> int:
-    """As a broker has it, rounded down."""
+    """Return a broker's quota, rounded down."""
     return min(live, max(size, int(holders * live / brokers)))
 
 
@@ -28,13 +31,13 @@
 def test_slow_start_share_is_bounded_by_count_and_capacity(
     quota_: int, live: int, count: int
 ) -> None:
-    found = slow_start_share(quota_, live, count)
-    assert 0 <= found.fraction <= 1 and found.divisor >= max(
-        1.0, count * found.fraction * (1 - 1e-12)
+    share = slow_start_share(quota_, live, count)
+    assert 0 <= share.fraction <= 1 and share.divisor >= max(
+        1.0, count * share.fraction * (1 - 1e-12)
     )
-    assert found.fraction < 1 or found.divisor >= count or quota_ * 2 >= live
-    assert not found.is_eligible(1.0 - found.fraction) and (
-        found.fraction == 0 or found.is_eligible(1.0)
+    assert share.fraction < 1 or share.divisor >= count or quota_ * 2 >= live
+    assert not share.is_eligible(1.0 - share.fraction) and (
+        share.fraction == 0 or share.is_eligible(1.0)
     )
 
 
@@ -45,22 +48,23 @@
 
 
 def test_all_brokers_are_eligible_where_a_fraction_would_need_a_larger_divisor() -> None:
-    """24 of 62: 23 of 30 brokers in the mean, and four deviations more would be 32."""
-    found = slow_start_share(12, 31, 30)
-    assert (found.fraction, found.divisor) == (1.0, 30.0)
+    """With 24 of 31 nodes, 23 of 30 brokers are eligible on average, and four standard deviations more would be 32."""
+    share = slow_start_share(12, 31, 30)
+    assert (share.fraction, share.divisor) == (1.0, 30.0)
     assert slow_start_share(4, 62, 1000).fraction < 1
 
 
 @pytest.mark.parametrize("brokers", [600, 2000, 6600, 20_000])
-@pytest.mark.parametrize("more", [0, 1])  # a quota is rounded up by some
+@pytest.mark.parametrize("more", [0, 1])  # some brokers round the quota up
 @pytest.mark.parametrize("holders", [16.0, 64.0, 256.0])
 def test_equal_views_rarely_exceed_capacity_and_never_the_spare_part(
     brokers: int, more: int, holders: float
 ) -> None:
     view = View(brokers, quota(brokers, holders=holders) + more, 62, brokers)
     mean, deviation = mean_and_deviation([view])
-    assert mean + KEPT_DEVIATIONS * deviation <= 1 + 1e-9
-    assert over([view], 1.0) < 4e-4  # four deviations of a binomial that is skew where few may
+    assert mean + MARGIN_DEVIATIONS * deviation <= 1 + 1e-9
+    # Four standard deviations; the binomial distribution is skewed if few brokers are eligible.
+    assert over([view], 1.0) < 4e-4
     assert over([view], SPARE) < (1e-9 if view.share.divisor > 200 else 2e-5)
 
 
@@ -78,23 +82,23 @@
 def test_mixed_views_keep_mean_and_four_deviations_within_the_spare_part(
     kinds: list[tuple[int, int, int, int]],
 ) -> None:
-    """Counts are the truth or more, up to some thousand times; lists of any length, quotas of any part of them."""
+    """Counts are up to several thousand times the actual one; lists and quotas are of any size."""
     brokers = sum(each for each, *_ in kinds)
     views = [
         View(each, min(used, live), live, brokers * 2**more) for each, used, live, more in kinds
     ]
     mean, deviation = mean_and_deviation(views)
     assert mean <= 1 + 1e-9
-    parts = [
+    ratios = [
         math.sqrt(view.count * view.share.fraction * (1 - view.share.fraction)) / view.share.divisor
         for view in views
     ]
-    assert max(parts) < 1 / KEPT_DEVIATIONS
-    assert mean + KEPT_DEVIATIONS * deviation <= 1 + max(parts) * (1 + 1e-9) < SPARE
+    assert max(ratios) < 1 / MARGIN_DEVIATIONS
+    assert mean + MARGIN_DEVIATIONS * deviation <= 1 + max(ratios) * (1 + 1e-9) < SPARE
 
 
 MIXES = {
-    "half with a list from before a zone came back": [
+    "half with a list from before a zone recovered": [
         View(3300, 4, 62, 6600),
         View(3300, 4, 57, 6600),
     ],
@@ -123,7 +127,7 @@
 
 
 def test_hashes_of_names_follow_the_computed_distribution() -> None:
-    """6,600 brokers, 200 nodes: the mean as it is reckoned, none over what is spare."""
+    """With 6,600 brokers and 200 nodes, the mean is as computed and no node exceeds its capacity."""
     share = slow_start_share(4, 62, 6600)
     sums = [
         sum(
@@ -153,13 +157,13 @@
 def test_no_time_window_exceeds_capacity_and_chance(
     instances: int, demand: str, counts: tuple[int, ...]
 ) -> None:
-    """The module's own decisions for all brokers that may send, who have nothing but the cold node to send to."""
+    """Play the decision library's decisions for all eligible brokers, which can send only to the cold node."""
     shares = [
-        slow_start_share(quota(instances, size=2, holders=64.0), 62 - 31 * (place % 2), count)
-        for place, count in enumerate(counts)
+        slow_start_share(quota(instances, size=2, holders=64.0), 62 - 31 * (index % 2), count)
+        for index, count in enumerate(counts)
     ]
     assert all(share.fraction < 1 for share in shares)
     for seed in range(3 if instances < 1000 else 1):
-        found = play(instances, demand, 3.0, seed, seconds=4.0, shares=shares)
-        assert found.worst <= 1.0, (seed, found)
-        assert found.used > 0.02
+        result = play(instances, demand, 3.0, seed, seconds=4.0, shares=shares)
+        assert result.worst <= 1.0, (seed, result)
+        assert result.used > 0.02
