--- a/stepknot/subsets/subset.py
+++ b/stepknot/subsets/subset.py
@@ -1,20 +1,3 @@
-A list may have 100,000 entries, and the broker's loop must not be occupied for longer than a few milliseconds. So
-`on_watch_event` and `set_instances` only queue; the work is done by `advance`, which does one unit and says whether
-there is more. Each unit is bounded, whatever the length of the list. Units are done in this order:
-
-1. *Read* entries of the first unread event into the pending entries (`list_intake`).
-2. *Compare* selected nodes with a snapshot that was read. A cell with a selected node that is no longer live, or is
-   another process, becomes urgent. For changes this is done at once, as part of reading them.
-3. *Select an urgent cell* again, after the pending entries of all its nodes are indexed.
-4. *Index* pending entries, then sweep the cells for nodes that a snapshot does not name.
-5. *Select* a cell again of which entries, quotas, the count of brokers or a slow start changed.
-
-Reading comes first, as only then it is known what is urgent (S7); draining nodes are so emitted, with their
-replacements, long before the rest of a long list is indexed. Events are emitted when they are long enough, when the
-last urgent cell has been selected, and at the end of the work. The caller takes them from `events` in their order.
-The same scheme is used by the driver (turns of the loop) and by its admin answers.
-"""
-====
 """The subset of one broker: receives watch events of the complete endpoint list and emits watch events of the subset.
 
 Sliced work
@@ -34,22 +17,6 @@
 long before the rest of a long list is indexed. An event is emitted when it has enough entries, when the last urgent
 cell has been selected, and at the end of the work. The caller takes the events from `events` in their order. The driver
 (over iterations of the loop) and its admin answers use the same scheme.
-"""====
-A list may have 100,000 entries, and the broker's loop must not be occupied for longer than a few milliseconds. So
-`on_watch_event` and `set_instances` only queue; the work is done by `advance`, which does one unit and says whether
-there is more. Each unit is bounded, whatever the length of the list. Units are done in this order:
-
-1. *Read* entries of the first unread event into the pending entries (`list_intake`).
-2. *Compare* selected nodes with a snapshot that was read. A cell with a selected node that is no longer live, or is
-   another process, becomes urgent. For changes this is done at once, as part of reading them.
-3. *Select an urgent cell* again, after the pending entries of all its nodes are indexed.
-4. *Index* pending entries, then sweep the cells for nodes that a snapshot does not name.
-5. *Select* a cell again of which entries, quotas, the count of brokers or a slow start changed.
-
-Reading comes first, as only then it is known what is urgent (S7); draining nodes are so emitted, with their
-replacements, long before the rest of a long list is indexed. Events are emitted when they are long enough, when the
-last urgent cell has been selected, and at the end of the work. The caller takes them from `events` in their order.
-The same scheme is used by the driver (turns of the loop) and by its admin answers.
 """
 
 from __future__ import annotations
--- a/tests/subsets/test_config.py
+++ b/tests/subsets/test_config.py
@@ -45,8 +45,8 @@
     """Return the key and the expectation of the only problem, and the line of the file to which it refers."""
     with pytest.raises(ConfigError) as caught:
         load(path)
-    (only,) = caught.value.problems
-    return only.key, only.expected, path.read_text().splitlines()[only.line - 1]
+    (reported,) = caught.value.problems
+    return reported.key, reported.expected, path.read_text().splitlines()[reported.line - 1]
 
 
 def test_subset_is_absent_without_the_block_or_when_disabled(tmp_path: Path) -> None:
