--- a/stepknot/discovery/endpoint_file.py
+++ b/stepknot/discovery/endpoint_file.py
@@ -32,7 +32,7 @@
     """One node as given in the file, and its line (0: unknown)."""
 
     line: int
-    given: Any
+    value: Any
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
     problems = []
     for position, row in enumerate(rows):
         try:
-            entry = _read_entry(row.given, clock_offset)
+            entry = _read_entry(row.value, clock_offset)
             if entry.server in entries:
                 raise SettingError(f"expected each address once, but {entry.server} is listed twice")
             entries[entry.server] = entry
@@ -151,19 +151,19 @@
 def _read_rows(path: Path) -> list[ListRow]:
     text = path.read_text()
     if path.suffix == ".json":
-        return [ListRow(0, given) for given in _read_json(path, text)]
+        return [ListRow(0, value) for value in _read_json(path, text)]
     return list(_read_hcl(path, text))
 
 
 def _read_json(path: Path, text: str) -> list[Any]:
     try:
-        given = orjson.loads(text)["boxes"]
-        if not isinstance(given, list):
+        rows = orjson.loads(text)["boxes"]
+        if not isinstance(rows, list):
             raise TypeError("boxes is not a list")
     except (ValueError, KeyError, TypeError) as error:
         expected = f"expected a JSON object with a list boxes: {error}"
         raise ConfigError([Problem(str(path), 1, "boxes", expected)]) from error
-    return given
+    return rows
 
 
 def _read_hcl(path: Path, text: str) -> Iterator[ListRow]:
@@ -172,31 +172,31 @@
         yield ListRow(block.line, {"address": " ".join(block.labels)} | values)
 
 
-def _read_entry(given: Any, clock_offset: float) -> ServerEntry:
-    if not isinstance(given, dict):
-        raise SettingError(f"expected an object, not {type(given).__name__}")
-    unknown = set(given) - KNOWN_KEYS
+def _read_entry(value: Any, clock_offset: float) -> ServerEntry:
+    if not isinstance(value, dict):
+        raise SettingError(f"expected an object, not {type(value).__name__}")
+    unknown = set(value) - KNOWN_KEYS
     if unknown:
         known = ", ".join(sorted(KNOWN_KEYS))
         raise SettingError(f"unknown key {min(unknown)}; expected keys among {known}")
-    server = given.get("address")
+    server = value.get("address")
     address(server)
-    state, cell = given.get("state", "live"), given.get("cell", 0)
+    state, cell = value.get("state", "live"), value.get("cell", 0)
     if state not in ("live", "draining"):
         raise SettingError(f"expected state live or draining, not {state!r}")
     if not isinstance(cell, int) or cell < 0:
         raise SettingError(f"expected cell to be an integer of 0 or more, not {cell!r}")
-    up_since = given.get("up_since", 0)
+    up_since = value.get("up_since", 0)
     if not isinstance(up_since, (int, float)):
         raise SettingError(f"expected up_since as a number of seconds since 1970, not {up_since!r}")
     return ServerEntry(
         server=str(server),
-        zone=str(given.get("zone", "")),
+        zone=str(value.get("zone", "")),
         cell=cell,
         state=ServerState(state),
-        size=float(given.get("size", 1.0)),
+        size=float(value.get("size", 1.0)),
         up_since=up_since + clock_offset if up_since > 0 else 0.0,
-        kind=str(given.get("kind", "")),
+        kind=str(value.get("kind", "")),
     )
 
 
@@ -210,5 +210,5 @@
 
 
 def _version_of(path: Path) -> FileVersion:
-    found = path.stat()
-    return FileVersion(found.st_mtime_ns, found.st_size, found.st_ino)
+    status = path.stat()
+    return FileVersion(status.st_mtime_ns, status.st_size, status.st_ino)
--- a/tests/zones/test_sockets.py
+++ b/tests/zones/test_sockets.py
@@ -30,7 +30,7 @@
 
 
 @pytest.fixture(scope="module")
-def hard(tmp_path_factory: pytest.TempPathFactory) -> Path:
+def combined_faults(tmp_path_factory: pytest.TempPathFactory) -> Path:
     """Run a script of combined faults in three zones.
 
     In order: half of a zone is lost; a zone is cut off from two brokers for different times; a zone is slow; a zone is
@@ -71,8 +71,8 @@
     return [each["new"] for each in changes(folder, broker) if each["zone"] == zone]
 
 
-def test_rules_hold_through_the_hard_cases_in_three_zones(hard: Path) -> None:
-    reports = audit(Records.load(hard))
+def test_rules_hold_through_the_hard_cases_in_three_zones(combined_faults: Path) -> None:
+    reports = audit(Records.load(combined_faults))
     assert [report.breaches for report in reports] == [[]] * 6
 
 
@@ -91,14 +91,14 @@
     return sum(status in (200, 201) for status in statuses) / len(statuses)
 
 
-def test_zone_cut_off_from_brokers_for_different_times_costs_no_answers(hard: Path) -> None:
-    assert success_fraction(hard, 5.0, 10.0) >= 0.8
+def test_zone_cut_off_from_brokers_for_different_times_costs_no_answers(combined_faults: Path) -> None:
+    assert success_fraction(combined_faults, 5.0, 10.0) >= 0.8
 
 
 @pytest.mark.parametrize("broker", [0, 1])
-def test_half_lost_zone_and_slow_zone_stay_available(hard: Path, broker: int) -> None:
+def test_half_lost_zone_and_slow_zone_stay_available(combined_faults: Path, broker: int) -> None:
     """Zone b becomes unavailable only when all of its servers are lost; zone a only later, when all zones are lost."""
-    lost = [each for each in changes(hard, broker) if each["new"] == "dark"]
+    lost = [each for each in changes(combined_faults, broker) if each["new"] == "dark"]
     order = [each["zone"] for each in lost]
     assert (
         next(each["reason"] for each in lost if each["zone"] == "b")
@@ -107,8 +107,8 @@
     assert "a" not in order or order.index("b") < order.index("a")
 
 
-def test_service_is_back_soon_after_all_zones_were_lost(hard: Path) -> None:
-    assert success_fraction(hard, 28.0, 34.0) >= 0.5
+def test_service_is_back_soon_after_all_zones_were_lost(combined_faults: Path) -> None:
+    assert success_fraction(combined_faults, 28.0, 34.0) >= 0.5
 
 
 def changes(folder: Path, broker: int) -> list[dict[str, Any]]:
