--- a/bench/trace_packages/subsets.py
+++ b/bench/trace_packages/subsets.py
@@ -253,7 +253,12 @@
         own = SubsetSettings("b0", 3, 8.0, zone="a", tiers=TIERS, own=frozenset({"me:1"}))
         self.listed = DrainedEndpoints(self._on_event)
         self.driver = SubsetDriver(
-            self.loop, own, fleet, self.listed, self._on_event, lambda _, **fields: self._log(fields)
+            self.loop,
+            own,
+            fleet,
+            self.listed,
+            self._on_event,
+            lambda _, **fields: self._log(fields),
         )
         self.listed.on_list = self.driver.on_watch_event
 
@@ -363,7 +368,10 @@
         entries = read_endpoint_list(path, offset)
     except ConfigError as error:
         trace.add(
-            *(f"{each.line} {each.key} {recorded_problem(each.expected)}" for each in error.problems)
+            *(
+                f"{each.line} {each.key} {recorded_problem(each.expected)}"
+                for each in error.problems
+            )
         )
         return {}
     for entry in entries.values():
--- a/stepknot/admission/byte_budget.py
+++ b/stepknot/admission/byte_budget.py
@@ -7,7 +7,8 @@
 from stepknot.admission.addresses import Address
 from stepknot.admission.model import AdmissionSettings, TrackedConnection
 
-MIN_ADDRESS_DIVISOR = 64  # an address may always reserve the budget divided by this, if that much is free
+# An address may always reserve the budget divided by this, if that much is free.
+MIN_ADDRESS_DIVISOR = 64
 
 
 class ByteBudget:
--- a/stepknot/admission/connection_slots.py
+++ b/stepknot/admission/connection_slots.py
@@ -15,7 +15,8 @@
 from stepknot.admission.ranked_counter import RankedCounter
 
 HALF_FULL = 0.5  # fraction of slots in use above which the keep-alive time is shortened
-MAX_EVICTION_CANDIDATES = 16  # number of addresses, those with the most connections, searched for an idle connection
+# Number of addresses, those with the most connections, searched for an idle connection.
+MAX_EVICTION_CANDIDATES = 16
 # An idle connection of the same trust level is evicted only if its address has at least this many connections more.
 MIN_EVICTION_DIFFERENCE = 2
 
--- a/stepknot/admission/descriptors.py
+++ b/stepknot/admission/descriptors.py
@@ -9,10 +9,14 @@
 # Descriptors for standard streams, epoll, wake-up, listeners, open files, the spare descriptor, and a margin.
 FIXED_DESCRIPTORS = 24
 ADMIN_DESCRIPTORS = 4  # connections of operators
-MIN_POOL = 8  # minimum number of connection slots, and of connections to servers, of a working broker
-MIN_REMAINING = 3 * MIN_POOL  # minimum number of descriptors for the waiting queue, servers and clients
-MAX_WAITING_FRACTION = 1 / 8  # waiting queue's maximum fraction of the descriptors besides the fixed and admin ones
-MAX_SERVERS_FRACTION = 0.4  # servers' maximum fraction of the descriptors that remain after the waiting queue's
+# Minimum number of connection slots, and of connections to servers, of a working broker.
+MIN_POOL = 8
+# Minimum number of descriptors for the waiting queue, servers and clients.
+MIN_REMAINING = 3 * MIN_POOL
+# Waiting queue's maximum fraction of the descriptors besides the fixed and admin ones.
+MAX_WAITING_FRACTION = 1 / 8
+# Servers' maximum fraction of the descriptors that remain after the waiting queue's.
+MAX_SERVERS_FRACTION = 0.4
 
 
 @dataclass(frozen=True, slots=True)
--- a/stepknot/admission/model.py
+++ b/stepknot/admission/model.py
@@ -72,18 +72,21 @@
     held: int = 4096  # maximum queries in flight in total
     bytes: int = 256 * 1024 * 1024  # maximum size of all request bodies in memory
     lane: int = 128  # maximum connections in the waiting queue
-    lane_time: float = 1.0  # time for the first request of a connection in the waiting queue to arrive
+    # Time for the first request of a connection in the waiting queue to arrive.
+    lane_time: float = 1.0
     progress: float = 512.0  # minimum bytes per second of a slow sender or reader, after `grace`
     grace: float = 5.0  # time before `progress` applies
     idle_least: float = 1.0  # keep-alive time when all slots are taken
-    conduct: float = 60.0  # points that make a client reputable; a second with a served request gives one point
+    # Points that make a client reputable; a second with a served request gives one point.
+    conduct: float = 60.0
     conduct_kept: int = 4096  # maximum number of addresses whose reputation is stored
     tracked: int = 1024  # maximum number of addresses whose rates are tracked
     memory: float = 10.0  # time constant with which rates decay
     listed: tuple[str, ...] = ()  # networks of known clients
     trusted: tuple[str, ...] = ()  # networks of proxies that are trusted to report client addresses
     proxy_protocol: bool = False  # whether connections of trusted peers begin with a PROXY header
-    keys: dict[str, str] = field(default_factory=dict)  # names of API keys by the SHA-256 of the key
+    # Names of API keys by the SHA-256 of the key.
+    keys: dict[str, str] = field(default_factory=dict)
     state: str = ""  # file that preserves bans and allowances over restarts
 
 
--- a/stepknot/admission/proxy_protocol.py
+++ b/stepknot/admission/proxy_protocol.py
@@ -14,7 +14,8 @@
 SIGNATURE = b"\r\n\r\n\0\r\nQUIT\n"  # start of a version 2 header
 LINE_START = b"PROXY "  # start of a version 1 header
 MAX_LINE = 107  # maximum length in bytes of a version 1 line, by the specification
-MAX_BLOCK = 1024  # maximum accepted length in bytes of a version 2 block: addresses and some extensions
+# Maximum accepted length in bytes of a version 2 block: addresses and some extensions.
+MAX_BLOCK = 1024
 MAX_PORT = 65535
 
 LINE_FIELDS = 6  # number of fields of a version 1 line: PROXY, family, two addresses, two ports
@@ -31,7 +32,8 @@
 class ProxyHeader(NamedTuple):
     """A complete header."""
 
-    address: Address | None  # address of the client; None for LOCAL and UNKNOWN: the client is the peer
+    # Address of the client; None for LOCAL and UNKNOWN: the client is the peer.
+    address: Address | None
     length: int  # length of the header in bytes
 
 
--- a/stepknot/admission/query_slots.py
+++ b/stepknot/admission/query_slots.py
@@ -8,7 +8,8 @@
 from stepknot.admission.addresses import Address
 from stepknot.admission.model import AdmissionSettings, QuerySlot, RejectReason, TrustLevel
 
-RESERVED_PER_LEVEL = 0.05  # fraction of the slots that is kept free for each class with a higher priority
+# Fraction of the slots that is kept free for each class with a higher priority.
+RESERVED_PER_LEVEL = 0.05
 
 
 class QuerySlots:
--- a/stepknot/admission/reputation.py
+++ b/stepknot/admission/reputation.py
@@ -10,7 +10,8 @@
 from stepknot.admission.model import AdmissionSettings
 
 REPUTATION_TIME_CONSTANT = 600.0  # seconds in which points decay by a factor of e
-MAX_GAIN = 1.0  # maximum points per request; an address gains one point per second, whatever its number of requests
+# Maximum points per request; an address gains one point per second, whatever its number of requests.
+MAX_GAIN = 1.0
 
 
 @dataclass(slots=True)
--- a/stepknot/discovery/endpoint_file.py
+++ b/stepknot/discovery/endpoint_file.py
@@ -60,15 +60,18 @@
     """
     rows = _read_rows(path)
     if len(rows) > MAX_NODES:
-        expected = f"expected at most {MAX_NODES} nodes, not {len(rows)}"
-        raise ConfigError([Problem(str(path), 1, "boxes", expected)])
+        raise ConfigError(
+            [Problem(str(path), 1, "boxes", f"expected at most {MAX_NODES} nodes, not {len(rows)}")]
+        )
     entries: dict[str, ServerEntry] = {}
     problems = []
     for position, row in enumerate(rows):
         try:
             entry = _read_entry(row.value, clock_offset)
             if entry.server in entries:
-                raise SettingError(f"expected each address once, but {entry.server} is listed twice")
+                raise SettingError(
+                    f"expected each address once, but {entry.server} is listed twice"
+                )
             entries[entry.server] = entry
         except (SettingError, TypeError, ValueError) as error:
             problems.append(Problem(str(path), row.line, f"boxes[{position}]", str(error)))
--- a/stepknot/subsets/cell_selector.py
+++ b/stepknot/subsets/cell_selector.py
@@ -32,7 +32,8 @@
         """
         layout, live_count = self._layout, self._index.live_count
         size = self._settings.size
-        dither = uniform_hash(self._settings.identity, f"\0cell {number}")  # not a possible name of a node
+        # Not a possible name of a node.
+        dither = uniform_hash(self._settings.identity, f"\0cell {number}")
         quotas = [
             quota_for_size(number, live_count, layout.cells, layout.reach, size),
             quota_for_holders(live_count(number), self._settings.holders, instances, dither),
--- a/stepknot/subsets/endpoint_index.py
+++ b/stepknot/subsets/endpoint_index.py
@@ -76,7 +76,8 @@
         """Return the position of an indexed node in its cell, by a binary search for its score."""
         cell = self.cells[entry.cell]
         position = bisect_left(cell.scores, self.score(entry))
-        while cell.ranked[position].server != entry.server:  # scores can be equal, for example for a hash of 1
+        # Scores can be equal, for example for a hash of 1.
+        while cell.ranked[position].server != entry.server:
             position += 1
         return position
 
--- a/stepknot/subsets/model.py
+++ b/stepknot/subsets/model.py
@@ -58,7 +58,8 @@
     """The reason for selecting the nodes of a cell again. The values are in admin answers and log events."""
 
     LIST = "the list"  # a node of the cell was added, removed or changed
-    QUOTA = "the list of a cell beside"  # a node changed in another cell that holds one of the same shards
+    # A node changed in another cell that holds one of the same shards.
+    QUOTA = "the list of a cell beside"
     WARM = "a node is warm"  # a node of the cell ended its slow start
     COUNT = "the count of brokers"
 
--- a/stepknot/subsets/quotas.py
+++ b/stepknot/subsets/quotas.py
@@ -5,7 +5,8 @@
 import math
 from collections.abc import Callable, Sequence
 
-MIN_CELL_QUOTA = 2  # with 1, the selected nodes of all cells of a shard could be in the nearest zone
+# With 1, the selected nodes of all cells of a shard could be in the nearest zone.
+MIN_CELL_QUOTA = 2
 
 
 def cells_of_shard(shard: int, cells: int, reach: int) -> list[int]:
--- a/stepknot/subsets/slow_start.py
+++ b/stepknot/subsets/slow_start.py
@@ -35,7 +35,8 @@
 # The eligible fraction is twice the fraction of nodes that is selected on average; at nearly all brokers the selected
 # nodes rank within it.
 ELIGIBLE_FACTOR = 2.0
-MARGIN_DEVIATIONS = 4.0  # standard deviations by which the divisor exceeds the mean number of eligible brokers
+# Standard deviations by which the divisor exceeds the mean number of eligible brokers.
+MARGIN_DEVIATIONS = 4.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/stepknot/subsets/subset.py
+++ b/stepknot/subsets/subset.py
@@ -75,7 +75,8 @@
         # Cells to be selected after pending entries are indexed, with the cause.
         self._stale_cells: dict[int, ChangeCause] = {}
         self.unemitted: list[ServerEntry] = []
-        self._first_kind: ListKind | None = None  # kind of the first event, until that event is emitted
+        # Kind of the first event, until that event is emitted.
+        self._first_kind: ListKind | None = None
         self._has_list = False
 
     def on_watch_event(self, event: ListReceived) -> None:
--- a/stepknot/subsets/warm_up_schedule.py
+++ b/stepknot/subsets/warm_up_schedule.py
@@ -6,7 +6,8 @@
 
 from stepknot.subsets.endpoint_index import EndpointIndex
 
-MAX_TIMES_PER_CELL = 4  # with more times than this, mostly outdated ones of removed nodes, the heap is rebuilt
+# With more times than this, mostly outdated ones of removed nodes, the heap is rebuilt.
+MAX_TIMES_PER_CELL = 4
 
 
 class WarmUpSchedule:
--- a/stepknot/zones/health.py
+++ b/stepknot/zones/health.py
@@ -33,7 +33,8 @@
     def __init__(self, settings: FailoverSettings, rng: random.Random) -> None:
         self._settings = settings
         self.state = ZoneState.HEALTHY
-        self.since = 0.0  # time at which the state began, or the last relapse was removed from the count
+        # Time at which the state began, or the last relapse was removed from the count.
+        self.since = 0.0
         self.reason = "initial state: no part has failed yet"
         # Fraction of their full capacity that the zone's servers have, according to their start times.
         self.warm_capacity = 1.0
--- a/stepknot/zones/model.py
+++ b/stepknot/zones/model.py
@@ -12,7 +12,8 @@
     """A zone as seen from this broker; the values are in admin answers and log events."""
 
     HEALTHY = "sound"
-    UNAVAILABLE = "dark"  # nearly all parts sent there fail: it gets trials, and parts with no other replica
+    # Nearly all parts sent there fail: it gets trials, and parts with no other replica.
+    UNAVAILABLE = "dark"
     RECOVERING = "returning"  # it answers again: its load is raised step by step
 
 
--- a/stepknot/zones/recovery.py
+++ b/stepknot/zones/recovery.py
@@ -4,7 +4,8 @@
 
 from stepknot.zones.settings import FailoverSettings
 
-INITIAL_CAPACITY_FRACTION = 0.5  # fraction of its servers' capacity with which a zone's recovery begins
+# Fraction of its servers' capacity with which a zone's recovery begins.
+INITIAL_CAPACITY_FRACTION = 0.5
 FAILED_STEP_FRACTION = 0.3  # a step has failed if at least this fraction of its parts failed
 MIN_STEP_PARTS = 3  # minimum number of served parts for a step to succeed
 # Each relapse makes the steps longer, and the fraction with which a recovery begins smaller, by this factor.
--- a/stepknot/zones/server_activity.py
+++ b/stepknot/zones/server_activity.py
@@ -7,7 +7,8 @@
 
 from stepknot.interface import Outcome
 
-LOST_ANSWER_TIMES = 5.0  # a cancelled attempt counts as lost after this multiple of the mean answer time
+# A cancelled attempt counts as lost after this multiple of the mean answer time.
+LOST_ANSWER_TIMES = 5.0
 MEAN_WEIGHT = 0.05  # weight of a new answer in the moving average of the answer time
 FAILED_OUTCOMES = frozenset({Outcome.ERROR, Outcome.RESET, Outcome.NOT_CONNECTED})
 
--- a/stepknot/zones/settings.py
+++ b/stepknot/zones/settings.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass, field, replace
 
 SPILL_HEADROOM = 2.0  # multiple of the load that each equal zone gets when one of them is lost
-NEAR_FRACTION = 0.03  # maximum negligible round trip, as a fraction of the shortest latency objective
+# Maximum negligible round trip, as a fraction of the shortest latency objective.
+NEAR_FRACTION = 0.03
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,7 +17,8 @@
     Times are in seconds. Settings whose default is 0 are derived by `derive_settings` if they are not configured.
     """
 
-    spill: float = 0.0  # maximum multiple of its baseline that a zone gets while another is not healthy
+    # Maximum multiple of its baseline that a zone gets while another is not healthy.
+    spill: float = 0.0
     near: float = 0.0  # maximum round trip of a health check to a near zone
     step: float = 0.0  # length of each step of a recovering zone
     first: float = 0.0  # minimum fraction of its baseline with which a recovering zone begins
@@ -24,7 +26,8 @@
     history: float = 20.0  # period over which a zone's baseline is averaged
     most_steps: float = 8.0  # maximum factor by which repeated relapses make a zone's steps longer
     calm: float = 60.0  # healthy time after which one relapse stops counting
-    trial: float = 0.25  # interval before the first trial of an unavailable zone; doubled after each trial
+    # Interval before the first trial of an unavailable zone; doubled after each trial.
+    trial: float = 0.25
     longest_trial: float = 4.0  # maximum interval between two trials
 
 
--- a/stepknot/zones/shedding.py
+++ b/stepknot/zones/shedding.py
@@ -13,11 +13,13 @@
 from stepknot.zones.model import ZoneState
 from stepknot.zones.zone import Zone
 
-MIN_LEVEL_FRACTION = 0.05  # fraction of the capacity guaranteed to each priority level, so that none is shut out
+# Fraction of the capacity guaranteed to each priority level, so that none is shut out.
+MIN_LEVEL_FRACTION = 0.05
 OVER_QUOTA_WEIGHT = 0.5  # factor applied to the priority of a query whose tenant is over its quota
 # Range of Retry-After in seconds, over which shed clients are spread; its upper end grows with the steps of recovery.
 RETRY_AFTER_RANGE = (0.5, 2.0)
-LEVELS_PER_DOUBLING = 2  # priority levels per doubling of the priority, which keeps the number of levels small
+# Priority levels per doubling of the priority, which keeps the number of levels small.
+LEVELS_PER_DOUBLING = 2
 MIN_PRIORITY = 1e-9
 MIN_RATE = 1e-9  # parts per second
 ROUNDING_TOLERANCE = 1e-9  # maximum rounding error by which a full credit may be below 1
@@ -27,7 +29,8 @@
 class PriorityLevel:
     """Demand and admission credit of the queries with one priority per part."""
 
-    demand: DecayingRate = field(default_factory=lambda: DecayingRate(DEMAND_TIME_CONSTANT))  # in parts
+    # Rate of the demand, in parts per second.
+    demand: DecayingRate = field(default_factory=lambda: DecayingRate(DEMAND_TIME_CONSTANT))
     credit: float = 0.0  # grows with each query; the query that brings it to 1 is admitted
 
 
--- a/stepknot/zones/spill_over.py
+++ b/stepknot/zones/spill_over.py
@@ -29,7 +29,8 @@
 OVERLOAD_HALF_LIFE = 1.0  # seconds
 
 STANDARD_ERRORS = 2.0  # number of standard errors added to a baseline
-MIN_HISTORY = 5.0  # seconds; a shorter history is combined with the estimate from the zone's fraction of the servers
+# Seconds; a shorter history is combined with the estimate from the zone's fraction of the servers.
+MIN_HISTORY = 5.0
 
 
 class TrafficBaseline:
@@ -123,7 +124,8 @@
 
     def __init__(self) -> None:
         self.tokens = 0.0
-        self._filled_at: float | None = None  # None: the bucket is filled by the first call of `refill`
+        # None: the bucket is filled by the first call of `refill`.
+        self._filled_at: float | None = None
 
     def refill(self, now: float, rate: float, largest_query: float) -> float:
         """Add `rate` tokens per second since the last call; return the number of tokens."""
--- a/stepknot/zones/zone.py
+++ b/stepknot/zones/zone.py
@@ -44,7 +44,8 @@
         self.servers_when_healthy = 0  # live servers when the zone was last healthy
         self.start_times: tuple[float, ...] = ()  # start times of the live servers; 0 for long ago
         self.round_trip = 0.0  # seconds; follows the quickest recent health checks; 0: not measured
-        self.tentative_parts = 0.0  # parts that the decision module may send to the zone in this turn
+        # Parts that the decision module may send to the zone in this turn.
+        self.tentative_parts = 0.0
 
     def update_servers(self, now: float, start_times: tuple[float, ...]) -> None:
         """Update the live servers, given by their start times, from a new endpoint list."""
--- a/tests/admission/test_access_lists.py
+++ b/tests/admission/test_access_lists.py
@@ -68,8 +68,8 @@
 
     with pytest.raises(
         AccessListError,
-        match="cannot add 192.0.2.0/24 to the list of banned networks: "
-        "it already has the maximum of 10000 entries",
+        match=r"cannot add 192\.0\.2\.0/24 to the list of banned networks: "
+        r"it already has the maximum of 10000 entries",
     ):
         lists.add(AccessList.BANNED, "192.0.2.0/24", math.inf)
     lists.add(AccessList.BANNED, "10.0.0.0/24", 5.0)  # an existing entry can still be changed
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -227,7 +227,8 @@
     _number, verdict = driver.connect("10.0.2.1")
     assert verdict.placement is Placement.ADMITTED and verdict.evicted == (numbers[1],)
     assert isinstance(driver.query(numbers[2]), QuerySlot)
-    assert driver.connect("10.0.2.2")[1].evicted == (numbers[3],)  # the third one has a query in flight
+    # The third one has a query in flight.
+    assert driver.connect("10.0.2.2")[1].evicted == (numbers[3],)
 
 
 def test_new_connection_among_equal_addresses_evicts_none_and_is_rejected() -> None:
--- a/tests/admission/test_sockets.py
+++ b/tests/admission/test_sockets.py
@@ -32,7 +32,8 @@
 KNOWN, KEY = "127.0.9.1", "a-secret"
 KEYED = f"authorization: ApiKey {KEY}\r\n"
 SEARCH = "/reports/_search"
-OPEN_CLIENTS: list[list[Client]] = []  # clients of the current test, referenced so that their sockets stay open
+# Clients of the current test, referenced so that their sockets stay open.
+OPEN_CLIENTS: list[list[Client]] = []
 COUNT = b"GET /reports/_count HTTP/1.1\r\nhost: x\r\n\r\n"
 
 
@@ -203,7 +204,10 @@
     assert client("POST", SEARCH, None, KEYED).status == 200
     assert view(run)["seats"]["listed"] == 1
     assert (
-        client_from(run, "127.0.0.66")("POST", SEARCH, None, "authorization: ApiKey wrong\r\n").status == 429
+        client_from(run, "127.0.0.66")(
+            "POST", SEARCH, None, "authorization: ApiKey wrong\r\n"
+        ).status
+        == 429
     )
     assert clients[0]("GET", "/reports/_count").status == 200
 
@@ -245,7 +249,8 @@
     known = [client_from(run, f"127.0.9.{each}") for each in range(1, 13)]
     assert [each("POST", SEARCH).status for each in known] == [200] * 12
     assert view(run)["seats"] == {"unknown": 48, "conduct": 0, "listed": 12} and len(unknown) == 48
-    another = client_from(run, "127.0.9.50")  # above the reserve a known client evicts an idle unknown one
+    # Above the reserve a known client evicts an idle unknown one.
+    another = client_from(run, "127.0.9.50")
     assert another("POST", SEARCH).status == 200 and view(run)["seats"]["unknown"] == 47
 
 
@@ -288,7 +293,8 @@
     client = client_from(run, "127.0.0.7")
     body = b'{"query": {"match_all": {}}}' + b" " * 30_000
     first = b"POST /reports/_count HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n"
-    for _ in range(5):  # each time, the end of one request and the beginning of the next arrive together
+    # Each time, the end of one request and the beginning of the next arrive together.
+    for _ in range(5):
         client.sock.sendall(first % len(body) + body + b"GET /reports/_count HT")
         assert client.read().status == 200
         until(lambda: view(run)["bytes"] < 100)
@@ -306,7 +312,9 @@
 )
 def test_slow_senders_in_every_slot_are_answered_and_closed(tmp_path: Path, head: bytes) -> None:
     """Single bytes are below the minimum rate: each client gets a 408, and the slots become free again."""
-    with broker_with_admission(tmp_path, grace='"300ms"', progress=1000, connections=25, reserve=0.0) as run:
+    with broker_with_admission(
+        tmp_path, grace='"300ms"', progress=1000, connections=25, reserve=0.0
+    ) as run:
         slow = [client_from(run, f"127.0.4.{each % 5 + 1}") for each in range(25)]
         for each in slow:
             each.sock.sendall(head)
@@ -318,7 +326,8 @@
                 == 25
             )
         )
-        assert client_from(run, "127.0.5.1")("GET", "/reports/_count").status == 429  # none of them is idle
+        # None of them is idle.
+        assert client_from(run, "127.0.5.1")("GET", "/reports/_count").status == 429
         stop = threading.Event()
 
         def drip() -> None:
@@ -460,12 +469,16 @@
         b"PROXY TCP4 1.2.3.4 5.6.7.8 1 70000\r\n",
     ],
 )
-def test_malformed_proxy_headers_are_answered_with_400(behind_proxy: Running, header: bytes) -> None:
+def test_malformed_proxy_headers_are_answered_with_400(
+    behind_proxy: Running, header: bytes
+) -> None:
     assert proxied(behind_proxy, header).read().status == 400
     assert proxied(behind_proxy, b"PROXY UNKNOWN\r\n")("GET", "/reports/_count").status == 200
 
 
-def test_untrusted_peers_proxy_line_and_forwarded_headers_are_ignored(behind_proxy: Running) -> None:
+def test_untrusted_peers_proxy_line_and_forwarded_headers_are_ignored(
+    behind_proxy: Running,
+) -> None:
     untrusted = client_from(behind_proxy, "127.0.0.77")
     untrusted.sock.sendall(b"PROXY TCP4 203.0.113.7 127.0.0.1 5000 9200\r\n")
     assert untrusted.read().status == 400
@@ -565,11 +578,7 @@
     )
     (folder / "boxes.json").write_bytes(
         orjson.dumps(
-            {
-                "boxes": [
-                    {"address": each.address, "cell": cell} for cell, each in enumerate(nodes)
-                ]
-            }
+            {"boxes": [{"address": each.address, "cell": cell} for cell, each in enumerate(nodes)]}
         )
     )
     log = folder / "broker.log"
@@ -655,7 +664,12 @@
     tmp_path: Path,
 ) -> None:
     """When the limit of a running broker is lowered and accept fails, clients are still answered."""
-    with broker_with_descriptor_limit(tmp_path, 256, per_address=400, per_v4_24=400) as (port, _, process, _log):
+    with broker_with_descriptor_limit(tmp_path, 256, per_address=400, per_v4_24=400) as (
+        port,
+        _,
+        process,
+        _log,
+    ):
         known = Client(connect(port, KNOWN))
         assert known("POST", SEARCH).status == 200
         open_descriptors = descriptors_of(process.pid)
--- a/tests/subsets/test_config.py
+++ b/tests/subsets/test_config.py
@@ -52,7 +52,9 @@
 def test_subset_is_absent_without_the_block_or_when_disabled(tmp_path: Path) -> None:
     assert load(write_settings(tmp_path, "")).subset is None
     assert (
-        load(write_settings(tmp_path, BLOCK.replace("subset {", "subset {\n  enabled = false"))).subset
+        load(
+            write_settings(tmp_path, BLOCK.replace("subset {", "subset {\n  enabled = false"))
+        ).subset
         is None
     )
 
@@ -75,7 +77,9 @@
     "peers", ["", PEERS.replace('name = "b3"', ""), PEERS.replace("name", "enabled = false\n #")]
 )
 def test_missing_identity_is_rejected(tmp_path: Path, peers: str) -> None:
-    key, expected, line = problem(write_settings(tmp_path, BLOCK.replace('identity = "eu-7"', "") + peers))
+    key, expected, line = problem(
+        write_settings(tmp_path, BLOCK.replace('identity = "eu-7"', "") + peers)
+    )
     assert key == "subset.identity" and line.startswith("subset")
     assert expected.startswith("missing: brokers with one identity would use the same nodes")
 
@@ -114,13 +118,17 @@
     )
     assert key == "subset.size" and "a second copy goes to another replica" in expected
     no_hedging = (one_attempt[0], one_attempt[1] + "\n  second_copies = false")
-    subset = load(write_settings(tmp_path, BLOCK.replace("size     = 4", "size     = 1"), no_hedging)).subset
+    subset = load(
+        write_settings(tmp_path, BLOCK.replace("size     = 4", "size     = 1"), no_hedging)
+    ).subset
     assert subset is not None and subset.size == 1
 
 
 def test_default_size_under_max_attempts_is_reported_at_the_block(tmp_path: Path) -> None:
     more_attempts = ("max_attempts    = 3", "max_attempts    = 9")
-    key, expected, line = problem(write_settings(tmp_path, BLOCK.replace("  size     = 4\n", ""), more_attempts))
+    key, expected, line = problem(
+        write_settings(tmp_path, BLOCK.replace("  size     = 4\n", ""), more_attempts)
+    )
     assert key == "subset.size" and "(9) or more, not 4" in expected and line.startswith("subset")
 
 
--- a/tests/subsets/test_driver.py
+++ b/tests/subsets/test_driver.py
@@ -174,8 +174,13 @@
     harness.loop.call_later(3 * MAX_SLICE_SECONDS, lambda: fired.append(harness.loop.turns))
     harness.change(*(replace(entry, state=ServerState.GONE) for entry in nodes()), *other_nodes())
     harness.settle()
-    assert set(harness.core()) < {entry.server for entry in other_nodes()} and len(harness.core()) == 40 * 3
-    assert harness.loop.lag_most < MAX_TURN_SECONDS and harness.driver.longest_slice < MAX_TURN_SECONDS
+    assert (
+        set(harness.core()) < {entry.server for entry in other_nodes()}
+        and len(harness.core()) == 40 * 3
+    )
+    assert (
+        harness.loop.lag_most < MAX_TURN_SECONDS and harness.driver.longest_slice < MAX_TURN_SECONDS
+    )
     assert harness.loop.turns - since > 10 and fired[0] - since < 5
     assert max(len(event.entries) for event in harness.received[1:]) <= MAX_HANDED_ENTRIES
     assert len(set(harness.turns)) == len(harness.turns), "two events in one turn"
@@ -336,7 +341,8 @@
 
 def full_list(harness: Harness) -> dict[str, ServerEntry]:
     return {
-        server: harness.listed.mark_drained(entry) for server, entry in harness.listed.entries.items()
+        server: harness.listed.mark_drained(entry)
+        for server, entry in harness.listed.entries.items()
     }
 
 
@@ -374,13 +380,17 @@
     harness.turn()
     harness.driver.subset.intake = None  # type: ignore[assignment]
     harness.change(replace(next(iter(harness.core().values())), state=ServerState.DRAINING))
-    assert harness.driver.fault and harness.core() == full_list(harness) and len(harness.core()) == 400
+    assert (
+        harness.driver.fault and harness.core() == full_list(harness) and len(harness.core()) == 400
+    )
 
 
 def test_pending_events_are_dropped_after_falling_back(
     harness: Harness,
 ) -> None:
-    harness.change(*(replace(entry, state=ServerState.GONE) for entry in nodes()[100:]), *other_nodes())
+    harness.change(
+        *(replace(entry, state=ServerState.GONE) for entry in nodes()[100:]), *other_nodes()
+    )
     harness.until(lambda: len(harness.driver.outgoing) > 1)
     harness.driver.fall_back(RuntimeError("planted"))
     for _ in range(50):
@@ -396,7 +406,9 @@
     harness.driver.fall_back(RuntimeError("planted"))
     (off,) = harness.driver.collect()
     assert off.samples[0].value == 1
-    assert report(harness)["off"] == "RuntimeError: planted" and harness.driver.explain("n0.0") is None
+    assert (
+        report(harness)["off"] == "RuntimeError: planted" and harness.driver.explain("n0.0") is None
+    )
 
 
 # --- admin answers, log events and metrics
@@ -449,7 +461,9 @@
 
 
 def test_answer_shows_zones_quotas_nodes_and_reasons(harness: Harness) -> None:
-    harness.change(*(replace(entry, up_since=harness.now) for entry in nodes() if entry.zone == "b"))
+    harness.change(
+        *(replace(entry, up_since=harness.now) for entry in nodes() if entry.zone == "b")
+    )
     harness.settle()
     answer = report(harness, with_held=True)
     assert [(row.zone, row.tier, row.listed) for row in answer["zones"]] == [
--- a/tests/subsets/test_processes.py
+++ b/tests/subsets/test_processes.py
@@ -183,7 +183,9 @@
     brokers.watch(2.0)
     for name in brokers.names:
         answer = brokers.subset(name)
-        assert answer["identity"] == name and answer["quota_least"] == answer["quota_greatest"] == SIZE
+        assert (
+            answer["identity"] == name and answer["quota_least"] == answer["quota_greatest"] == SIZE
+        )
         for cell in range(CELLS):
             zones = {row["zone"] for row in answer["held"] if row["cell"] == cell}
             assert len(zones) == SIZE and brokers[name].zone in zones
--- a/tests/subsets/test_selection.py
+++ b/tests/subsets/test_selection.py
@@ -108,9 +108,7 @@
 
 @given(ZONES, st.integers(MIN_CELL_QUOTA, 6))
 def test_selection_is_the_first_ranked_except_for_zone_and_tier(zones: str, quota: int) -> None:
-    ranked = [
-        ServerEntry(f"n{rank}", zone, 0, ServerState.LIVE) for rank, zone in enumerate(zones)
-    ]
+    ranked = [ServerEntry(f"n{rank}", zone, 0, ServerState.LIVE) for rank, zone in enumerate(zones)]
     selected = select_warm(ranked, quota, "abcd".index)
     assert len({entry.server for entry in selected}) == len(selected) == min(quota, len(ranked))
     if not ranked:
--- a/tests/subsets/test_slow_start.py
+++ b/tests/subsets/test_slow_start.py
@@ -19,7 +19,8 @@
 
 pytestmark = pytest.mark.cpu_only
 
-SPARE = 1 / COLD_UTILIZATION  # the node's capacity as a multiple of the budget that the decision library uses
+# The node's capacity as a multiple of the budget that the decision library uses.
+SPARE = 1 / COLD_UTILIZATION
 
 
 def quota(brokers: int, live: int = 62, size: int = 4, holders: float = 256.0) -> int:
--- a/tests/subsets/test_subset.py
+++ b/tests/subsets/test_subset.py
@@ -63,12 +63,18 @@
 
 def check(follower: Follower) -> None:
     """Check S1 to S3, S8 and S9 for the nodes that were emitted."""
-    shape, settings_, count = follower.subset.layout, follower.subset.settings, follower.subset.instances
+    shape, settings_, count = (
+        follower.subset.layout,
+        follower.subset.settings,
+        follower.subset.instances,
+    )
     cells: dict[int, list[ServerEntry]] = {cell: [] for cell in range(shape.cells)}
     for entry in follower.newest.values():
         if entry.state is LIVE:
             cells[entry.cell].append(entry)
-    warm = {cell: [entry for entry in each if follower.is_warm(entry)] for cell, each in cells.items()}
+    warm = {
+        cell: [entry for entry in each if follower.is_warm(entry)] for cell, each in cells.items()
+    }
     selected = {
         cell: [follower.view[entry.server] for entry in each if entry.server in follower.view]
         for cell, each in cells.items()
@@ -176,7 +182,9 @@
     changed = {entry.cell for entry in set(before.values()) ^ set(follower.view.values())}
     assert changed <= affected
     assert {each.cell for each in follower.subset.changes} >= {
-        follower.newest[server].cell for server in set(before) ^ set(follower.view) if server != new.server
+        follower.newest[server].cell
+        for server in set(before) ^ set(follower.view)
+        if server != new.server
     }
 
 
@@ -383,7 +391,9 @@
     follower.subset.set_instances(count)
     follower.finish()
     check(follower)
-    assert len(follower.view) == (20 if count <= 1 else len(follower.view)) and len(follower.view) >= 4
+    assert (
+        len(follower.view) == (20 if count <= 1 else len(follower.view)) and len(follower.view) >= 4
+    )
 
 
 def test_size_above_the_number_of_nodes_selects_all() -> None:
--- a/tests/zones/test_failover.py
+++ b/tests/zones/test_failover.py
@@ -152,7 +152,8 @@
         simulation.run(0.1)
     simulation.sent["b"].clear()
     simulation.run(1.0)
-    assert simulation.rate("b", 1.0) <= 0.5 * 50  # the recovery begins with a small fraction of the baseline
+    # The recovery begins with a small fraction of the baseline.
+    assert simulation.rate("b", 1.0) <= 0.5 * 50
     simulation.run(2 * COLD_TIME)
     assert simulation.state("b") is ZoneState.HEALTHY
     simulation.run(5)
@@ -184,7 +185,10 @@
     assert steps[0] < steps[1] < steps[2]
     assert simulation.rate("a", 20) > 60  # the healthy zone served parts throughout
     simulation.run(300, rate=20, tick=0.4)
-    assert simulation.state("b") is ZoneState.HEALTHY and simulation.zones.zone("b").health.ramp.relapses == 0
+    assert (
+        simulation.state("b") is ZoneState.HEALTHY
+        and simulation.zones.zone("b").health.ramp.relapses == 0
+    )
 
 
 def test_zone_with_half_of_its_servers_lost_stays_healthy() -> None:
@@ -236,7 +240,9 @@
         for number in range(4):
             simulation.zones.on_attempt_ended(simulation.now, f"b{number}", Outcome.SERVED, 0.01)
             for _ in range(9):
-                simulation.zones.on_attempt_ended(simulation.now, f"b{number}", Outcome.CANCELLED, 0.5)
+                simulation.zones.on_attempt_ended(
+                    simulation.now, f"b{number}", Outcome.CANCELLED, 0.5
+                )
     assert simulation.state("b") is ZoneState.HEALTHY
 
 
@@ -255,7 +261,9 @@
     for _ in range(200):
         simulation.now += 0.05
         for number in range(4):
-            simulation.zones.on_attempt_ended(simulation.now, f"b{number}", Outcome.CANCELLED, 0.005)
+            simulation.zones.on_attempt_ended(
+                simulation.now, f"b{number}", Outcome.CANCELLED, 0.005
+            )
     assert simulation.state("b") is ZoneState.HEALTHY
 
 
@@ -284,7 +292,8 @@
     assert (
         10
         <= sent
-        <= 10 * max(2 * MIN_STEP_PARTS / simulation.zones.zone("b").health.ramp.step_seconds(), 5) + 20
+        <= 10 * max(2 * MIN_STEP_PARTS / simulation.zones.zone("b").health.ramp.step_seconds(), 5)
+        + 20
     )
 
 
@@ -321,7 +330,9 @@
 def test_delisted_zone_is_unavailable_at_once_and_tried_when_listed_again() -> None:
     simulation = Simulation()
     simulation.run(10)
-    simulation.zones.update_endpoints(simulation.now, [each for each in simulation.entries if each.zone == "a"])
+    simulation.zones.update_endpoints(
+        simulation.now, [each for each in simulation.entries if each.zone == "a"]
+    )
     assert simulation.state("b") is ZoneState.UNAVAILABLE
     simulation.zones.update_endpoints(simulation.now, simulation.entries)
     simulation.run(0.5)
@@ -338,7 +349,9 @@
         simulation.now += TICK
         for priority in (1.0, 4.0, 16.0):
             for _ in range(5):  # 100 per second each, 300 in total; the capacity is about 180
-                admitted[priority] += simulation.zones.admit(simulation.now, priority, 1, False) is None
+                admitted[priority] += (
+                    simulation.zones.admit(simulation.now, priority, 1, False) is None
+                )
     assert admitted[16.0] > 0.9 * 2000 and admitted[16.0] > admitted[4.0] > admitted[1.0] > 20
 
 
@@ -352,7 +365,9 @@
         simulation.now += TICK
         for over_quota in (False, True):
             for _ in range(15):
-                admitted[over_quota] += simulation.zones.admit(simulation.now, 1.0, 1, over_quota) is None
+                admitted[over_quota] += (
+                    simulation.zones.admit(simulation.now, 1.0, 1, over_quota) is None
+                )
     assert admitted[False] > 1.5 * admitted[True] > 0
 
 
@@ -380,7 +395,9 @@
         simulation.run(5, rate=rate)
         simulation.run(10, rate=4 * rate)
     limits = sum(simulation.limit("a") for simulation in simulations)
-    assert sum(simulation.rate("a", 8) for simulation in simulations) <= limits * (1 + BURST_SECONDS / 8)
+    assert sum(simulation.rate("a", 8) for simulation in simulations) <= limits * (
+        1 + BURST_SECONDS / 8
+    )
     assert limits <= simulations[0].zones.derived.spill * sum(rates) / 2 * 1.2
 
 
@@ -389,12 +406,16 @@
     simulation.run(20)
     simulation.down = {"b"}
     simulation.run(5)
-    before, baseline = allowed_rate(simulation, "a"), simulation.zones.limits.baseline(simulation.zones.now, "a")
+    before, baseline = (
+        allowed_rate(simulation, "a"),
+        simulation.zones.limits.baseline(simulation.zones.now, "a"),
+    )
     for _ in range(10):
         simulation.zones.on_attempt_ended(simulation.now, "a1", Outcome.REJECTED, 0.001)
     simulation.now += TICK
     simulation.zones.admit(simulation.now, 1.0, 1, False)
-    assert allowed_rate(simulation, "a") == pytest.approx(before, rel=0.02)  # a few rejections are no evidence of overload
+    # A few rejections are no evidence of overload.
+    assert allowed_rate(simulation, "a") == pytest.approx(before, rel=0.02)
     for _ in range(200):
         simulation.zones.on_attempt_ended(simulation.now, "a1", Outcome.REJECTED, 0.001)
     simulation.now += TICK
@@ -475,7 +496,11 @@
             simulation.run(float(value), rate=rate)  # type: ignore[arg-type]
             if was_unhealthy and simulation.zones.has_unhealthy_zone():
                 spans.append(
-                    (begin, simulation.now, {name: max(before[name], limit(name)) for name in "abc"})
+                    (
+                        begin,
+                        simulation.now,
+                        {name: max(before[name], limit(name)) for name in "abc"},
+                    )
                 )
     for begin, end, max_rates in spans:
         for name, max_rate in max_rates.items():
--- a/tests/zones/test_sockets.py
+++ b/tests/zones/test_sockets.py
@@ -91,7 +91,9 @@
     return sum(status in (200, 201) for status in statuses) / len(statuses)
 
 
-def test_zone_cut_off_from_brokers_for_different_times_costs_no_answers(combined_faults: Path) -> None:
+def test_zone_cut_off_from_brokers_for_different_times_costs_no_answers(
+    combined_faults: Path,
+) -> None:
     assert success_fraction(combined_faults, 5.0, 10.0) >= 0.8
 
 
