--- a/bench/trace_packages/broker.py
+++ b/bench/trace_packages/broker.py
@@ -187,7 +187,7 @@
             log_to(trace),
             CoreOptions(
                 zones=zones,
-                promised={"gold": 0.2, "iron": 0.3} if zoned else {},
+                tenant_shares={"gold": 0.2, "iron": 0.3} if zoned else {},
                 watch=lambda: trace.add("watch", self.loop.now),
                 name="traced",
                 **bounds,
--- a/stepknot/broker/aggregator_timers.py
+++ b/stepknot/broker/aggregator_timers.py
@@ -1,4 +1,4 @@
-"""Timers that the decision module asks for: a heap that the loop looks at when the next one is due."""
+"""The decision module's timers, kept in a heap for which the loop has one timer."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 
 class AggregatorTimers:
-    """The decision module's timers. They cost one loop timer at a time, however many there are."""
+    """The decision module's timers. However many there are, they need only one timer of the loop at a time."""
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
-        self.heap: list[tuple[float, int]] = []  # time by the loop's clock, token
-        self.armed_for = math.inf  # when the loop wakes up for them next
+        self.heap: list[tuple[float, int]] = []  # due time by the loop's clock, and the timer's token
+        self.armed_for = math.inf  # due time of the loop's timer, inf if it is not set
 
     def add(self, action: api.SetTimer) -> None:
-        """Set one. `arm` must follow before the loop waits again."""
+        """Add a timer. `arm` must be called before the loop waits again."""
         heapq.heappush(self.heap, (action.at, action.token))
 
     def is_due(self) -> bool:
-        """Whether one is due by now."""
+        """Whether a timer is due now."""
         return bool(self.heap) and self.heap[0][0] <= self.loop.now
 
     def take_due(self) -> list[api.Event]:
-        """Events of those that are due, in the order of their times."""
+        """Remove the timers that are due; returns their events in the order of their due times."""
         heap, now = self.heap, self.loop.now
         events: list[api.Event] = []
         while heap and heap[0][0] <= now:
@@ -34,13 +34,13 @@
         return events
 
     def arm(self) -> None:
-        """Have the loop wake up for the next one."""
+        """Set the loop's timer for the next timer that is due."""
         if self.heap and self.heap[0][0] < self.armed_for:
             self.armed_for = self.heap[0][0]
             self.loop.call_at(self.armed_for, self._on_loop_timer)
 
     def _on_loop_timer(self) -> None:
-        """The hook at the end of this loop turn takes what is due."""
+        """Wake the loop up; the core's hook at the end of this iteration takes the timers that are due."""
         self.armed_for = math.inf
-        if not self.is_due():  # another turn took it already
+        if not self.is_due():  # an earlier iteration has already taken them
             self.arm()
--- a/stepknot/broker/attempt_tracker.py
+++ b/stepknot/broker/attempt_tracker.py
@@ -1,4 +1,4 @@
-"""Attempts in flight: each is started once and ends once, by a reply, a timeout, a cancellation or its query's end."""
+"""Attempts in flight. Each is started once and ends once: by a reply, a timeout, a cancellation or its query's end."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from stepknot.nodes.codec import PartReply
 from stepknot.nodes.transport import Load, NodeTransport
 
-if TYPE_CHECKING:  # its package is loaded only where zones are configured
+if TYPE_CHECKING:  # the zones package is loaded only where zones are configured
     from stepknot.zones.failover import ZoneFailover
 
 ENDED_COUNTERS = {outcome: f"ended_{outcome.name.lower()}" for outcome in api.Outcome}
 
 
 class AttemptTracker:
-    """The attempts in flight, by part and number.
+    """Keeps the attempts in flight, by part and number.
 
     Args:
-        loop: Gives the time and the timers.
-        transport: Is told of attempts that nobody waits for any more; calls `on_reply`.
-        zones: Is told of each attempt's begin and end, where zones are configured.
-        zone_log: Logs changes of zones that an attempt's end causes; there where `zones` is.
+        loop: The broker's loop, for its clock and timers.
+        transport: Sends attempts and cancels those whose replies are no longer awaited; calls `on_reply`.
+        zones: Gets the start and the end of each attempt; None if zones are not configured.
+        zone_log: Logs the changes of zones that an attempt's end causes; None if `zones` is None.
         counts: The core's counters.
-        post: Takes the `AttemptEnded` events.
+        post: Queues the `AttemptEnded` events for the decision module.
     """
 
     def __init__(
@@ -45,21 +45,21 @@
         self.loop, self.transport, self.counts, self.post = loop, transport, counts, post
         self.zones, self.zone_log = zones, zone_log
         self.in_flight: dict[tuple[int, int], Attempt] = {}
-        self.expiries: dict[float, list[Attempt]] = {}  # by the time at which their waits end
+        self.expiries: dict[float, list[Attempt]] = {}  # by the time at which they time out
         transport.on_reply = self.on_reply
 
     def __len__(self) -> int:
         return len(self.in_flight)
 
     def still_in_flight(self, attempts: list[Attempt]) -> list[Attempt]:
-        """Those of the attempts that did not end yet."""
+        """The given attempts without those that have already ended."""
         in_flight = self.in_flight
         return [
             each for each in attempts if in_flight.get((each.part.part_id, each.number)) is each
         ]
 
     def start(self, query: Query, part: QueryPart, action: api.Send) -> Attempt:
-        """Make the attempt that the decision module asks for; the caller hands it to the transport."""
+        """Make the attempt that the decision module requests; the caller passes it to the transport."""
         now = self.loop.now
         attempt = Attempt(
             part.request,
@@ -81,14 +81,14 @@
             self.counts["extra_attempts"] += 1
         self.in_flight[part.part_id, attempt.number] = attempt
         if action.timeout < math.inf:
-            # Attempts whose waits end at the same time share a loop timer.
+            # Attempts that time out at the same time share a timer of the loop.
             at = now + action.timeout
-            sharing = self.expiries.get(at)
-            if sharing is None:
-                sharing = []
-                self.expiries[at] = sharing
-                self.loop.call_at(at, partial(self._on_expiry, sharing, at))
-            sharing.append(attempt)
+            expiring = self.expiries.get(at)
+            if expiring is None:
+                expiring = []
+                self.expiries[at] = expiring
+                self.loop.call_at(at, partial(self._on_expiry, expiring, at))
+            expiring.append(attempt)
         return attempt
 
     def _on_expiry(self, attempts: list[Attempt], at: float) -> None:
@@ -97,7 +97,7 @@
             self.end(attempt, api.Outcome.TIMED_OUT, {})
 
     def on_reply(self, attempt: Attempt, reply: PartReply, load: Load) -> None:
-        """The transport's reply. The part is served only where the payload is an answer to what was asked."""
+        """End an attempt by the transport's reply. The part is served only if the payload answers its request."""
         part, outcome = attempt.part, reply.outcome
         if outcome is api.Outcome.SERVED and not part.served:
             try:
@@ -110,15 +110,15 @@
         self.end(attempt, outcome, load)
 
     def cancel(self, part_id: int, number: int) -> None:
-        """End an attempt that nobody waits for any more, if it is still in flight."""
+        """End an attempt whose reply is no longer needed, if it is still in flight."""
         attempt = self.in_flight.get((part_id, number))
         if attempt is not None:
             self.end(attempt, api.Outcome.CANCELLED, {})
 
     def drop_unsent(self, parts: Iterable[QueryPart]) -> None:
-        """End those attempts of a finished query's parts of which no byte was sent.
+        """End the attempts of a finished query's parts of which no byte has been sent yet.
 
-        Nothing begins any more for a finished query, also where cancelling is not allowed.
+        A node must not start work for a finished query, even if the settings do not allow cancelling.
         """
         for part in parts:
             for number in range(part.attempts):
@@ -127,7 +127,7 @@
                     self.end(attempt, api.Outcome.NOT_SENT, {})
 
     def end(self, attempt: Attempt, outcome: api.Outcome, load: Load) -> None:
-        """The one end of an attempt; later calls for the same attempt do nothing."""
+        """End an attempt. Every attempt ends here; later calls for the same attempt do nothing."""
         part = attempt.part
         if self.in_flight.pop((part.part_id, attempt.number), None) is None:
             return
--- a/stepknot/broker/core.py
+++ b/stepknot/broker/core.py
@@ -1,9 +1,9 @@
 """The broker's core: turns queries into the decision module's events, and carries out its actions.
 
-All events of one loop turn go to the module in one call. What it sends to one node in that turn travels as one
-call. Nothing here chooses a node, waits, retries or rejects: the module does. What the core keeps are the
-queries in flight, their parts and the attempts in flight. Each ends in exactly one place
-(`Core._finish`, `AttemptTracker.end`).
+The core hands all events of one loop iteration to the decision module in one call. The attempts that the module then
+sends to one node travel together. Choosing nodes, waiting, retrying and rejecting are up to the module; the core only
+enforces its own limits on what is in flight. It keeps the queries, their parts and the attempts in flight. A query
+ends only in `Core._finish`, an attempt only in `AttemptTracker.end`.
 """
 
 from __future__ import annotations
@@ -24,39 +24,39 @@
 from stepknot.net.loop import Loop
 from stepknot.nodes.transport import Load, NodeTransport
 
-if TYPE_CHECKING:  # its package is loaded only where zones are configured
+if TYPE_CHECKING:  # the zones package is loaded only where zones are configured
     from stepknot.zones.failover import ZoneFailover
 
 
 def _no_watch() -> None:
-    """The source of the endpoint list pushes changes by itself."""
+    """The default of `CoreOptions.watch`: does nothing, as the source of the endpoint list pushes its changes."""
 
 
 @dataclass(frozen=True, slots=True)
 class CoreOptions:
-    """What a core may have beyond its collaborators."""
+    """A core's optional settings and collaborators."""
 
-    max_queries: int = 4096  # in flight; a query beyond it is refused
-    max_open: float = math.inf  # queries and parts in flight together
-    name: str = ""  # the broker's
-    zones: ZoneFailover | None = None  # bounds for whole zones
-    promised: dict[str, float] = field(default_factory=dict)  # each tenant's share of the traffic
-    watch: Callable[[], None] = _no_watch  # asks for changes of the endpoint list
+    max_queries: int = 4096  # maximum number of queries in flight; further queries are refused
+    max_open: float = math.inf  # maximum number of queries and parts in flight, added together
+    name: str = ""  # the broker's name
+    zones: ZoneFailover | None = None  # limits the traffic of whole zones
+    tenant_shares: dict[str, float] = field(default_factory=dict)  # share of the traffic, by tenant
+    watch: Callable[[], None] = _no_watch  # requests changes of the endpoint list
 
 
 DEFAULT_OPTIONS = CoreOptions()
 
 
 class Core:
-    """Queries in flight between a frontend, the decision module and the transport to the nodes.
+    """Runs queries: connects frontends, the decision module and the transport to the nodes.
 
     Args:
-        loop: Gives the time; the core's turn is a hook at the end of each of the loop's.
+        loop: The broker's loop, whose clock the core uses. The core runs as a hook at the end of each iteration.
         settings: The decision module's settings.
-        seed: Of the decision module's random choices.
-        transport: Carries attempts to the nodes.
-        log: Takes an event's name and its fields.
-        options: Bounds, the broker's name, zones, tenants' shares.
+        seed: The seed of the decision module's random choices.
+        transport: Sends attempts to the nodes.
+        log: Writes a log event, given its name and fields.
+        options: Limits, the broker's name, zone failover and the tenants' shares.
     """
 
     def __init__(
@@ -74,17 +74,17 @@
         zones = options.zones
         self.aggregator = Aggregator(settings, seed, zones.narrow if zones is not None else None)
         self.decide: Callable[[float, list[api.Event]], list[api.Action]] = self.aggregator.handle
-        self.decide_time = 0.0  # seconds
-        self.inbox: list[api.Event] = []  # for the decision module, at the end of this turn
-        self.outgoing: dict[str, list[Attempt]] = {}  # this turn's attempts by node
+        self.decide_time = 0.0  # seconds spent in the decision module
+        self.pending_events: list[api.Event] = []  # events for the decision module at the end of this iteration
+        self.outgoing: dict[str, list[Attempt]] = {}  # attempts started in this iteration, by node
         self.queries: dict[int, Query] = {}
         self.parts: dict[int, tuple[Query, QueryPart]] = {}
         self.servers: dict[str, api.ServerEntry] = {}
         self.last_id = 0
         self.counts: Counter[str] = Counter()
         self.class_counts: Counter[tuple[str, str]] = Counter()
-        self.tenant_counts: Counter[tuple[str, str]] = Counter()  # unknown tenants together
-        self.tenants = TenantShares(options.promised)
+        self.tenant_counts: Counter[tuple[str, str]] = Counter()  # unknown tenants count as ""
+        self.tenants = TenantShares(options.tenant_shares)
         self.zone_log = ZoneChangeLog(zones, self.counts, log) if zones is not None else None
         self.attempts = AttemptTracker(
             loop, transport, zones, self.zone_log, self.counts, self.post
@@ -101,24 +101,24 @@
             api.Close: lambda action: transport.close_idle(action.server),
             api.Watch: lambda _action: options.watch(),
         }
-        loop.turn_hooks.append(self.on_turn_end)
+        loop.turn_hooks.append(self._on_iteration_end)
 
     def post(self, event: api.Event) -> None:
-        """Hand an event to the decision module at the end of this turn, or of the next one."""
-        self.inbox.append(event)
+        """Queue an event for the decision module, which gets it at the end of this loop iteration or the next."""
+        self.pending_events.append(event)
         self.loop.again = True
 
     def set_instance_count(self, count: int) -> None:
-        """No more brokers than this share the nodes now."""
+        """Set the upper bound of the number of brokers that share the nodes."""
         self.post(api.InstancesCounted(count))
 
     # --- queries from clients
 
     def submit(self, query: Query) -> None:
-        """Take a query; `query.done` is set to its `QueryResult` before the client's time is up."""
+        """Start a query; `query.done` is set to its `QueryResult` before the query's deadline."""
         self.last_id += 1
         query.query_id, query.arrived = self.last_id, self.loop.now
-        if self._is_over_bound(query):
+        if self._exceeds_limits(query):
             self.counts["over_bound"] += 1
             query.done.set(self._refusal(self.settings.limits.max_retry_after))
             return
@@ -146,8 +146,8 @@
         )
         self._add_parts(query, query.parts)
 
-    def _is_over_bound(self, query: Query) -> bool:
-        """Whether memory has no capacity for this query."""
+    def _exceeds_limits(self, query: Query) -> bool:
+        """Whether there would be too many queries or parts in flight; both limits bound the broker's memory."""
         in_flight = len(self.queries) + len(self.parts)
         return (
             len(self.queries) >= self.max_queries
@@ -155,17 +155,19 @@
         )
 
     def _refusal(self, retry_after: float) -> QueryResult:
-        """The result of a query that was not taken, with advice in seconds where the limits allow it."""
+        """The result of a query that was not started; it advises when to retry if the limits allow that."""
         limits = self.settings.limits
         advice = min(retry_after, limits.max_retry_after) if limits.retry_after else 0.0
         return QueryResult(QueryStatus.REFUSED, False, advice)
 
     def _shed_load(self, zones: ZoneFailover, query: Query) -> float | None:
-        """None where the zones have capacity for the query; else the seconds after which to retry."""
+        """None if the zones have capacity for the query; otherwise the seconds after which its client may retry."""
         parts = len(query.parts)
-        worth = self.settings.classes[query.class_name].worth / max(parts, 1)
+        weight_per_part = self.settings.classes[query.class_name].worth / max(parts, 1)
         now = self.loop.now
-        return zones.admit(now, worth, parts, self.tenants.is_over_share(now, query.tenant))
+        return zones.admit(
+            now, weight_per_part, parts, self.tenants.is_over_share(now, query.tenant)
+        )
 
     def _add_parts(self, query: Query, parts: list[QueryPart]) -> None:
         for part in parts:
@@ -178,24 +180,26 @@
         self.counts["parts"] += len(parts)
 
     def on_client_disconnected(self, query: Query) -> None:
-        """Nothing is answered any more, and the attempts in flight are cancelled."""
+        """End a query whose client disconnected, without a result; its attempts in flight are cancelled."""
         if self.queries.get(query.query_id) is query:
             self.post(api.QueryGone(query.query_id))
             self._finish(query, None)
 
     def finish_all(self) -> None:
-        """Shutting down: every query in flight gets its final answer now."""
+        """End every query in flight now, as the broker shuts down."""
         for query in list(self.queries.values()):
             self.post(api.QueryGone(query.query_id))
-            ran = any(part.attempts for part in query.parts)
-            safe = self.settings.classes[query.class_name].effect is api.Effect.SAFE
-            status = QueryStatus.REFUSED if safe or not ran else QueryStatus.FAILED
+            may_have_run = any(part.attempts for part in query.parts)
+            is_safe = self.settings.classes[query.class_name].effect is api.Effect.SAFE
+            status = (
+                QueryStatus.REFUSED if is_safe or not may_have_run else QueryStatus.FAILED
+            )
             self._finish(query, QueryResult(status))
 
     # --- the endpoint list
 
     def update_endpoints(self, event: api.ListReceived) -> None:
-        """Take a full endpoint list or changes to it; nodes that are not live get nothing new at once."""
+        """Apply a full endpoint list or changes to it; nodes that are not live get no new attempts from now on."""
         if event.kind is api.ListKind.FULL:
             for server in self.servers.keys() - {entry.server for entry in event.entries}:
                 self.transport.withdraw(server)
@@ -223,13 +227,13 @@
             cell=entry.cell,
         )
 
-    # --- one turn
+    # --- one iteration of the loop
 
-    def on_turn_end(self) -> None:
-        """Hand this turn's events to the decision module and carry out what it decides."""
-        if not self.inbox and not self.timers.is_due():
+    def _on_iteration_end(self) -> None:
+        """Hand this iteration's events to the decision module and carry out its actions."""
+        if not self.pending_events and not self.timers.is_due():
             return
-        events, self.inbox = self.inbox, []
+        events, self.pending_events = self.pending_events, []
         events += self.timers.take_due()
         begun = self.loop.clock()
         actions = self.decide(self.loop.now, events)
@@ -243,9 +247,9 @@
         self.timers.arm()
 
     def _prepare_send(self, action: api.Send) -> None:
-        """Start the attempt; it leaves together with the turn's others for the same node."""
+        """Start an attempt; it is sent together with this iteration's other attempts for the same node."""
         found = self.parts.get(action.part_id)
-        if found is None:  # its client disconnected in this very turn
+        if found is None:  # the query ended in this same iteration, as its client disconnected
             self.post(
                 api.AttemptEnded(
                     action.part_id, action.attempt, action.server, api.Outcome.NOT_SENT, 0.0
@@ -257,14 +261,14 @@
         self.outgoing.setdefault(action.server, []).append(attempt)
 
     def _send_outgoing(self) -> None:
-        """One call or more to each node; attempts that this same turn cancelled stay here."""
+        """Send each node its attempts, in one call or more, except attempts that already ended in this iteration."""
         outgoing, self.outgoing = self.outgoing, {}
         for server, attempts in outgoing.items():
             to_send = self.attempts.still_in_flight(attempts)
             self.counts["calls"] += self.transport.send(server, to_send)
 
     def _probe(self, server: str) -> None:
-        """Ask a node for its load report."""
+        """Send a health check to a node, which answers with its load report."""
         begun = self.loop.now
         self.counts["probes"] += 1
 
@@ -279,7 +283,7 @@
     # --- ends of queries
 
     def _on_answer(self, action: api.Answer) -> None:
-        """Begin the second step where there is one, or finish the query."""
+        """Begin the query's second step if it has one, otherwise finish the query."""
         query = self.queries.get(action.query_id)
         if query is None:
             return
@@ -291,7 +295,7 @@
             if query.second_parts:
                 self._add_parts(query, query.second_parts)
                 return
-            self.post(api.QueryGone(query.query_id))  # nothing is to be fetched
+            self.post(api.QueryGone(query.query_id))  # the second step has nothing to fetch
         self._finish(query, QueryResult(QueryStatus.ANSWERED, action.whole))
 
     def _on_refuse(self, action: api.Refuse) -> None:
@@ -305,7 +309,7 @@
             self._finish(query, QueryResult(QueryStatus.FAILED))
 
     def _finish(self, query: Query, result: QueryResult | None) -> None:
-        """The one end of a query; None where its client disconnected."""
+        """End a query with its result, None if its client disconnected. Every query ends here."""
         del self.queries[query.query_id]
         parts = (*query.parts, *query.second_parts)
         for part in parts:
--- a/stepknot/broker/index_catalog.py
+++ b/stepknot/broker/index_catalog.py
@@ -1,9 +1,10 @@
 """The indices that a broker knows: those of the settings, and those that clients created at run time.
 
-Created ones live at the nodes. A broker caches what it learnt of them for `CACHE_SECONDS` and asks again after that,
-so that brokers need not talk to each other. Creating, mapping and deleting go to every live node (never to one that
-drains); a node that was away learns of them from its peers. No choice of replica is made here: all nodes or, to learn
-of an index, up to `MAX_NODES_ASKED` of them in random order.
+The nodes keep the definitions of created indices. A broker caches a node's answer about an index for `CACHE_SECONDS`
+and then asks again, so that brokers need not notify each other of changes. Requests that create, map or delete an
+index go to every live node, but not to draining nodes; a node that was unavailable gets the change from the other
+nodes. This module does not choose among replicas: it calls all nodes or, to look up an index, up to
+`MAX_NODES_ASKED` nodes in random order.
 """
 
 from __future__ import annotations
@@ -29,16 +30,16 @@
 from stepknot.nodes.exchange import Exchange
 from stepknot.search.errors import RequestError
 
-CACHE_SECONDS = 2.0  # for which what was learnt of a created index, or that there is none, is used
-MAX_NODES_ASKED = 3  # one after the other, for an index that is not known here
-ASK_TIMEOUT = 0.5  # seconds for each of them
-CHANGE_TIMEOUT = 5.0  # seconds for all nodes to take a change
-MAX_LEARNT = 1000  # names cached
+CACHE_SECONDS = 2.0  # how long a node's answer about an index is cached, also that the index does not exist
+MAX_NODES_ASKED = 3  # nodes that are asked one after the other for an index that is not cached
+ASK_TIMEOUT = 0.5  # seconds for each of these nodes to answer
+CHANGE_TIMEOUT = 5.0  # seconds for each node to confirm a change
+MAX_CACHED_NAMES = 1000
 Steps = Generator[Park, Any, Any]
 
 
 class NodeReply(NamedTuple):
-    """A node's reply to a plain request; status 0 where none came."""
+    """A node's reply to a plain HTTP request; status 0 means that no valid reply came."""
 
     status: int
     body: bytes
@@ -51,8 +52,8 @@
     """Declared and created indices by name.
 
     Args:
-        config: Has the declared indices.
-        core: Has the endpoint list and the loop.
+        config: The broker's settings, which declare indices.
+        core: The broker's core, for the endpoint list and the loop.
         pool: Connections to the nodes.
     """
 
@@ -60,17 +61,18 @@
         self.config, self.core, self.pool = config, core, pool
         self.declared = config.indices
         self.created: dict[str, Index] = {}
-        self.learnt_at: dict[str, float] = {}  # by the loop's clock, by name, known or not
+        # When nodes last answered about each name, by the loop's clock; also names that do not exist.
+        self.looked_up_at: dict[str, float] = {}
 
     def known(self) -> dict[str, Index]:
-        """All that are known here."""
+        """All declared and all cached created indices, by name."""
         return {**self.declared, **self.created}
 
     def get(self, name: str) -> Index:
         """The index of this name.
 
         Raises:
-            RequestError: It is not known here.
+            RequestError: This broker knows no such index.
         """
         index = self.declared.get(name) or self.created.get(name)
         if index is None:
@@ -78,10 +80,10 @@
         return index
 
     def select(self, names: str) -> list[Index]:
-        """Indices by comma-separated names, with `*`; "" and `_all` are all that are known here.
+        """The indices that match comma-separated names, which may contain `*`; "", "_all" and "*" select all.
 
         Raises:
-            RequestError: A name without `*` is not known.
+            RequestError: This broker knows no index with one of the names without `*`.
         """
         if names in ("", "_all", "*"):
             return list(self.known().values())
@@ -98,25 +100,26 @@
                 found[name] = self.get(name)
         return list(found.values())
 
-    # --- learning of indices that others created
+    # --- indices that clients created by way of other brokers
 
     def learn(self, names: Iterable[str]) -> Steps:
-        """Ask the nodes for names that are not known, or no longer; the waits are short and bounded."""
+        """Ask the nodes about names that are not cached, or whose cache entries expired; the waits are short."""
         for name in dict.fromkeys(names):
             if self._may_be_created(name) and not self._is_cached(name):
                 yield from self._ask_nodes(name)
 
     def _may_be_created(self, name: str) -> bool:
+        """Whether a client may have created an index of this name."""
         return bool(
             name and name not in self.declared and "*" not in name and not name.startswith("_")
         )
 
     def _is_cached(self, name: str) -> bool:
-        return self.core.loop.now - self.learnt_at.get(name, -CACHE_SECONDS) < CACHE_SECONDS
+        return self.core.loop.now - self.looked_up_at.get(name, -CACHE_SECONDS) < CACHE_SECONDS
 
     def _ask_nodes(self, name: str) -> Steps:
-        if len(self.learnt_at) >= MAX_LEARNT:
-            self.learnt_at.clear()
+        if len(self.looked_up_at) >= MAX_CACHED_NAMES:
+            self.looked_up_at.clear()
         nodes = self._live_nodes()
         self.core.loop.rng.shuffle(nodes)
         for node in nodes[:MAX_NODES_ASKED]:
@@ -126,13 +129,13 @@
                     definition = orjson.loads(reply.body)[name]
                     index = make_index(name, definition, self.core.settings.cells)
                 except (KeyError, ValueError, TypeError):
-                    continue  # malformed: the next node may know better
+                    continue  # the reply is malformed: ask the next node
                 self.created[name] = index
-                self.learnt_at[name] = self.core.loop.now
+                self.looked_up_at[name] = self.core.loop.now
                 return
             if reply.status == HTTPStatus.NOT_FOUND:
                 self.created.pop(name, None)
-                self.learnt_at[name] = self.core.loop.now
+                self.looked_up_at[name] = self.core.loop.now
                 return
 
     def _live_nodes(self) -> list[str]:
@@ -141,7 +144,7 @@
         ]
 
     def _call(self, node: str, method: str, path: str, body: bytes, timeout: float) -> Steps:
-        """One plain request to one node; ends in a `NodeReply`."""
+        """Send one plain HTTP request to one node; returns a `NodeReply`."""
         done = Future()
 
         def on_end(parser: ClientParser | None, _outcome: Outcome, _reason: str) -> None:
@@ -169,10 +172,10 @@
     # --- changes
 
     def create(self, name: str, body: Any) -> Steps:
-        """Create an index at all live nodes; ends in whether all of them took it.
+        """Create an index at all live nodes; returns whether all of them accepted it.
 
         Raises:
-            RequestError: It exists, or its name or definition is not valid.
+            RequestError: The index exists, or its name or definition is not valid.
         """
         if name in self.declared or name in self.created:
             raise RequestError(
@@ -182,16 +185,16 @@
             raise RequestError(f"Invalid index name [{name}]", "invalid_index_name_exception")
         definition = check_definition(body)
         self.created[name] = make_index(name, definition, self.core.settings.cells)
-        self.learnt_at[name] = self.core.loop.now
-        # A node that has it already answers 400.
+        self.looked_up_at[name] = self.core.loop.now
+        # A node that already has the index answers 400.
         accepted = {HTTPStatus.OK, HTTPStatus.BAD_REQUEST}
         return (yield from self._broadcast("PUT", f"/{name}", orjson.dumps(definition), accepted))
 
     def put_mapping(self, name: str, body: Any) -> Steps:
-        """Add fields to a created index; ends in whether all live nodes took them.
+        """Add fields to a created index; returns whether all live nodes accepted them.
 
         Raises:
-            RequestError: The index is not known or declared, or a field's type would change.
+            RequestError: The index is unknown, the settings declare it, or a field's type would change.
         """
         index = self.get(name)
         if name in self.declared:
@@ -211,10 +214,10 @@
         return (yield from self._broadcast("PUT", path, orjson.dumps(body), {HTTPStatus.OK}))
 
     def delete(self, name: str) -> Steps:
-        """Delete a created index at all live nodes; ends in whether all of them took it.
+        """Delete a created index at all live nodes; returns whether all of them accepted that.
 
         Raises:
-            RequestError: The index is not known or declared.
+            RequestError: The index is unknown, or the settings declare it.
         """
         self.get(name)
         if name in self.declared:
@@ -224,12 +227,16 @@
                 403,
             )
         self.created.pop(name, None)
-        self.learnt_at[name] = self.core.loop.now
+        self.looked_up_at[name] = self.core.loop.now
         accepted = {HTTPStatus.OK, HTTPStatus.NOT_FOUND}
         return (yield from self._broadcast("DELETE", f"/{name}", b"", accepted))
 
     def _broadcast(self, method: str, path: str, body: bytes, accepted: set[HTTPStatus]) -> Steps:
-        """Send to all live nodes at once; ends in whether there are some and all replied with such a status."""
+        """Send a request to all live nodes concurrently.
+
+        Returns:
+            Whether there is a live node, and all live nodes replied with an accepted status.
+        """
         nodes = self._live_nodes()
         replies: list[NodeReply] = []
         done = Future()
--- a/stepknot/broker/index_definitions.py
+++ b/stepknot/broker/index_definitions.py
@@ -1,4 +1,4 @@
-"""Definitions of indices that clients create: read and checked, without I/O."""
+"""Reads and checks the definitions of indices that clients create; it does no I/O."""
 
 from __future__ import annotations
 
@@ -14,10 +14,12 @@
 
 
 def make_index(name: str, definition: Any, cells: int) -> Index:
-    """The index of this name by its definition, as nodes keep it; its first shard's place follows from the name.
+    """The index of this name with this definition, in the form in which nodes keep it.
+
+    The number of its first shard among the fleet's shards follows from a hash of the name.
 
     Raises:
-        KeyError, TypeError, ValueError: The definition does not have the form that `check_definition` makes.
+        KeyError, TypeError, ValueError: The definition does not have the form that `check_definition` returns.
     """
     shards = int(definition["settings"]["index"]["number_of_shards"])
     fields = {
@@ -30,10 +32,10 @@
 
 
 def check_definition(body: Any) -> dict[str, Any]:
-    """The engines' create body, in the one form that nodes are sent.
+    """Check the body of a create request; returns the definition in the form that is sent to nodes.
 
     Raises:
-        RequestError: It is malformed or has something that is not supported; `ParsingError` is one of these.
+        RequestError: The body is malformed (`ParsingError`), or has something that is not supported.
     """
     if body is None:
         body = {}
@@ -65,7 +67,11 @@
 
 
 def check_fields(mappings: Any) -> dict[str, str]:
-    """Types of fields by their names, from a create or mapping body. Raises `RequestError` as above."""
+    """The types of fields by name, from the mappings of a create or mapping request.
+
+    Raises:
+        RequestError: The mappings are malformed (`ParsingError`), or have something that is not supported.
+    """
     if not isinstance(mappings, dict):
         raise ParsingError("[mappings] must be an object")
     for key in mappings:
--- a/stepknot/broker/query.py
+++ b/stepknot/broker/query.py
@@ -1,4 +1,4 @@
-"""A query, its parts, its attempts and its result, as frontends hand them to the core and get them back."""
+"""Queries, their parts, attempts and results, as frontends and the core exchange them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from stepknot.net.tasks import Future
 from stepknot.nodes.transport import OutgoingAttempt
 
-# Reads a part's payload. It raises ValueError where the payload is not an answer to what was asked.
+# Decodes the payload of a part's reply; raises ValueError if the payload does not answer the part's request.
 ReadAnswer = Callable[[Any], Any]
 
 
@@ -18,19 +18,19 @@
     """How a query ended for its client."""
 
     ANSWERED = "answered"
-    REFUSED = "refused"  # trying again is harmless
-    FAILED = "failed"  # it may have run: no promise
+    REFUSED = "refused"  # the client may safely retry
+    FAILED = "failed"  # it may or may not have been carried out
 
 
 @dataclass(slots=True, eq=False)
 class QueryPart:
-    """A part of a query: what it asks, how its answer is read, and what became of it."""
+    """A part of a query: its shard, its request, the decoder of its answer, and its outcome."""
 
-    shard: int  # among the fleet's
+    shard: int  # number among all shards of the fleet
     weight: float
-    request: Any  # in the transport's terms
+    request: Any  # in the form that the transport sends
     read_answer: ReadAnswer
-    effort: float = 0.0  # expected seconds of work, 0: unknown
+    effort: float = 0.0  # expected work in seconds, 0 if unknown
     part_id: int = 0
     answer: Any = None
     served: bool = False
@@ -41,32 +41,32 @@
 
 @dataclass(slots=True, eq=False)
 class Query:
-    """A query handed to the core. `make_second_step` makes the second step's parts from the first one's."""
+    """A query for the core. `make_second_step` makes the second step's parts from the first step's parts."""
 
     class_name: str
     deadline: float  # by the loop's clock
-    parts: list[QueryPart]  # of the first step
+    parts: list[QueryPart]  # the first step's parts
     make_second_step: Callable[[list[QueryPart]], list[QueryPart]] | None = None
     tenant: str = ""
     key: str = ""
-    name: str = ""  # in logs and at nodes
-    effort: float = 0.0  # expected seconds of work of all parts, 0: unknown
-    retry: bool = False  # its client says that it asks again
+    name: str = ""  # identifies the query in logs and at nodes
+    effort: float = 0.0  # expected work of all parts in seconds, 0 if unknown
+    retry: bool = False  # whether the client marked it as a retry
     query_id: int = 0
     step: int = 1
     second_parts: list[QueryPart] = field(default_factory=list)
     first_step_complete: bool = False
     arrived: float = 0.0
-    done: Future = field(default_factory=Future)  # set to its QueryResult, or None
+    done: Future = field(default_factory=Future)  # its QueryResult, None if its client disconnected
 
 
 @dataclass(frozen=True, slots=True)
 class QueryResult:
-    """A query's end. `complete`: nothing is missing; `retry_after`: advice in seconds, 0 for none."""
+    """How a query ended."""
 
     status: QueryStatus
-    complete: bool = False
-    retry_after: float = 0.0
+    complete: bool = False  # whether all parts were served
+    retry_after: float = 0.0  # seconds after which the client is advised to retry, 0 for no advice
 
     @property
     def is_answered(self) -> bool:
@@ -76,10 +76,10 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt(OutgoingAttempt):
-    """An attempt in flight: what the transport knows of it, and whose it is."""
+    """An attempt to serve a part at one node: the transport's data, and the part and query that it belongs to."""
 
     part: QueryPart = field(kw_only=True)
     query: Query = field(kw_only=True)
     number: int = field(kw_only=True)
     server: str = field(kw_only=True)
-    sent: float = field(kw_only=True)  # by the loop's clock
+    sent: float = field(kw_only=True)  # when it was started, by the loop's clock
--- a/stepknot/broker/query_admission.py
+++ b/stepknot/broker/query_admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests: each gets a query slot, or is rejected in its frontend's protocol."""
+"""Admission of requests: each request gets a query slot or is rejected in its frontend's protocol."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from stepknot.net.loop import Loop
 from stepknot.net.tasks import Coroutine
 
-MIN_ERROR_STATUS = 400  # of HTTP
+MIN_ERROR_STATUS = 400  # the lowest HTTP status that counts as an error
 
 
 class QueryAdmission:
@@ -25,9 +25,9 @@
 
     Args:
         loop: The broker's loop.
-        admission: Decides.
-        peers: Which peers are trusted proxies.
-        tenant_quotas: Fraction of the query slots that each tenant may have.
+        admission: Decides which requests are admitted.
+        peers: Tells which peers are trusted proxies.
+        tenant_quotas: The fraction of the query slots that each tenant may use.
         rejections: Makes the answers to rejected requests.
         close_evicted: Closes the connections that a verdict evicted.
     """
@@ -52,10 +52,10 @@
     def handle(
         self, frontend: Frontend, handler: Any, request: Request, connection: Connection
     ) -> Coroutine:
-        """Handle a request by its frontend's handler, if it gets a query slot."""
+        """Run the frontend's handler if the request gets a query slot; otherwise answer with a rejection."""
         admission, now, number = self._admission, self._loop.now, connection.number
         tracked = admission.connections.get(number)
-        if tracked is None:  # it was evicted in this very turn
+        if tracked is None:  # the connection was evicted in this same loop iteration
             return None
         address = self._find_client(request, connection, tracked.address)
         if "authorization" in request.headers:
@@ -75,7 +75,10 @@
             admission.on_query_ended(self._loop.now, slot, succeeded)
 
     def _find_client(self, request: Request, connection: Connection, address: Address) -> Address:
-        """The client of a request, by its headers where a trusted proxy sent it; noted in the request."""
+        """The address of the request's client, taken from the headers if the peer is a trusted proxy.
+
+        Sets `request.client` if the address differs from the peer's.
+        """
         if address in self._peers.trusted:
             address = client_address(request.headers, address, self._peers.trusted)
         if address != self._peers.address(connection.peer):
--- a/stepknot/broker/query_group.py
+++ b/stepknot/broker/query_group.py
@@ -1,4 +1,4 @@
-"""Queries of one client that run side by side."""
+"""Groups of concurrent queries of one client."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 Steps = Generator[Park, Any, Any]
 OnDisconnected = Callable[[], None]
-# Registers what is called when the client disconnects.
+# Registers a callback that is called when the client disconnects.
 DisconnectSubscriber = Callable[[OnDisconnected], None]
 
 
 class QueryGroup:
-    """Queries of one client that run side by side: when it disconnects, all of them are cancelled.
+    """Concurrent queries of one client; all of them are cancelled when the client disconnects.
 
     Args:
         loop: Runs the queries' tasks.
@@ -35,20 +35,20 @@
             callback()
 
     def subscribe(self, callback: OnDisconnected) -> None:
-        """Register a query of the group; at once called where the client is gone already."""
+        """Register a callback of one of the group's queries; it is called now if the client has already disconnected."""
         if self.is_disconnected:
             callback()
         else:
             self.callbacks.append(callback)
 
     def start(self, steps: Steps) -> Task:
-        """Run one query's steps beside the others."""
+        """Run one query's steps concurrently with the others."""
         task = self.loop.spawn(steps, "party")
         self.tasks.append(task)
         return task
 
     def wait(self) -> Steps:
-        """All results, in the order in which they were started."""
+        """Wait for all queries; returns their results in the order in which the queries were started."""
         results = []
         for task in self.tasks:
             results.append((yield from task.wait()))
--- a/stepknot/broker/query_runner.py
+++ b/stepknot/broker/query_runner.py
@@ -1,7 +1,7 @@
-"""Runs clients' searches, reads and writes as queries of the core, whichever frontend they came by.
+"""Runs clients' searches, reads and writes as queries of the core, for all frontends.
 
-Here an index's shards become parts with their weights, hits become a second step, and a query gets the class and
-the time that settings and client give it. No frontend makes parts of its own.
+This module makes a query's parts from the shards of its indices, makes the second step from the first step's hits,
+and determines the query's class and deadline from the settings and the client. Frontends make no parts themselves.
 """
 
 from __future__ import annotations
@@ -36,97 +36,112 @@
 
 
 class QueryRunner:
-    """Makes queries from clients' operations and waits for their ends.
+    """Makes queries from clients' operations and waits for their results.
 
     Args:
-        config: The broker's settings: classes of operations, tenants, indices.
+        config: The broker's settings, of which it uses the operations' classes, the tenants and the indices.
         core: Runs the queries.
-        pool: Connections to nodes, for the catalog of indices.
+        pool: Connections to the nodes, for the catalog of indices.
     """
 
     def __init__(self, config: Config, core: Core, pool: ConnectionPool) -> None:
         self.config, self.core = config, core
         self.indices = IndexCatalog(config, core, pool)
-        # Tokens of this process differ from those of an earlier one.
-        self.boot = f"{core.loop.rng.getrandbits(48):012x}"
-        self.tokens = 0
+        # The random prefix makes this process's tokens differ from those of an earlier process.
+        self.token_prefix = f"{core.loop.rng.getrandbits(48):012x}"
+        self.tokens = 0  # number of tokens made so far
 
     # --- the client and its class
 
     def client_info(
         self, headers: Mapping[str, str], seconds: float | None, arrived: float | None
     ) -> ClientInfo:
-        """The client of a request with these headers, the same for every frontend."""
+        """The client that sent a request with these headers; all frontends use the same headers.
+
+        Args:
+            headers: The request's headers.
+            seconds: The client's own timeout, None if it gave none.
+            arrived: When the request arrived, by the loop's clock, if it waited before it was read.
+        """
         self.tokens += 1
         return ClientInfo(
             seconds,
             self._tenant_of(headers),
-            accepted_name(headers.get(NAME_HEADER, "")) or f"{self.boot}-q{self.tokens}",
+            accepted_name(headers.get(NAME_HEADER, "")) or f"{self.token_prefix}-q{self.tokens}",
             headers.get(CLASS_HEADER, ""),
             arrived,
         )
 
     def _tenant_of(self, headers: Mapping[str, str]) -> str:
-        """The tenant that the client names; "" for a name that the settings do not have."""
+        """The tenant that the client names; "" if the settings have no such tenant."""
         tenant = headers.get(TENANT_HEADER, "")
         return tenant if tenant in self.config.tenants else ""
 
     def priority_of(self, operation: str, headers: Mapping[str, str]) -> tuple[int, str]:
-        """How many priority weights are above that of the operation's or the client's class; and the tenant."""
+        """The request's priority level and its tenant.
+
+        The level is the number of different priority weights above that of the request's class, so 0 is the highest.
+        """
         classes = self.core.settings.classes
         named = classes.get(headers.get(CLASS_HEADER, ""))
         query_class = named or classes[self.config.operations[operation]]
-        above = {each.worth for each in classes.values() if each.worth > query_class.worth}
-        return len(above), self._tenant_of(headers)
+        higher_weights = {each.worth for each in classes.values() if each.worth > query_class.worth}
+        return len(higher_weights), self._tenant_of(headers)
 
     def class_of(self, operation: str, client: ClientInfo) -> str:
-        """The name of the query's class: the one that the client names, or the operation's.
+        """The name of the query's class: the class that the client names, by default the operation's class.
 
         Raises:
-            RequestError: There is no such class, or its effect is another than the operation's.
+            RequestError: The client's class does not exist, or its effect differs from that of the operation's class.
         """
-        own = self.config.operations[operation]
+        default = self.config.operations[operation]
         if not client.class_name:
-            return own
+            return default
         classes = self.core.settings.classes
         named = classes.get(client.class_name)
         if named is None:
             raise RequestError(f"unknown query class [{client.class_name}]")
-        if named.effect is not classes[own].effect:
+        if named.effect is not classes[default].effect:
             raise RequestError(
                 f"class [{client.class_name}] does not fit [{operation}]: its effect differs"
             )
         return client.class_name
 
     def timeout_of(self, class_name: str, client: ClientInfo) -> float:
-        """Seconds that a query of this class may take: the class's deadline or the client's wait, if shorter."""
+        """Seconds that a query of this class may take: the shorter of the class's deadline and the client's timeout."""
         deadline = self.core.settings.classes[class_name].deadline
         return deadline if client.seconds is None else min(deadline, client.seconds)
 
     def new_id(self) -> str:
-        """An id for a document that its client did not name."""
+        """A random id for a document that the client sent without an id."""
         return f"{self.core.loop.rng.getrandbits(120):030x}"
 
     # --- shards
 
     def shard(self, index: Index, routing: str) -> Target:
-        """The shard that this routing value leads to."""
+        """The shard that holds documents with this routing value."""
         return target_of(index, routing)
 
     def targets(
         self, indices: list[Index], routing: str = "", only: frozenset[int] | None = None
     ) -> list[Target]:
-        """All shards, only those of these numbers, or those that the routing values (comma-separated) lead to."""
+        """The shards of the indices: all, only those with the given numbers, or those of the routing values.
+
+        Args:
+            indices: The indices to search.
+            routing: Routing values, separated by commas; "" for no routing.
+            only: Numbers of shards within their index; None for all.
+        """
         return shard_targets(indices, routing, only)
 
     # --- operations
 
     def make_group(self, subscribe: DisconnectSubscriber) -> QueryGroup:
-        """A group for queries of one client that run side by side."""
+        """A group of concurrent queries of one client."""
         return QueryGroup(self.core.loop, subscribe)
 
     def run(self, query: Query, subscribe: DisconnectSubscriber) -> Steps:
-        """Submit it and wait for its result, None where the client disconnected."""
+        """Submit a query and wait for its result, which is None if the client disconnected."""
         self.core.submit(query)
         subscribe(lambda: self.core.on_client_disconnected(query))
         return (yield from query.done.wait())
@@ -140,47 +155,49 @@
         key: str,
         subscribe: DisconnectSubscriber,
     ) -> Steps:
-        """One search over its shards, in one step or two as its class says; ends in a `QueryOutcome`.
+        """Run one search over its shards, in one or two steps according to its class; returns a `QueryOutcome`.
 
         Raises:
-            RequestError: The class does not fit, or the page cannot be made.
-            MergeError: The shards' answers of a search in one step do not fit together.
+            RequestError: The client's class cannot be used, or the page cannot be made.
+            MergeError: The shards' answers to a search in one step cannot be merged.
         """
         class_name = self.class_of(operation, client)
         has_two_steps = self.core.settings.classes[class_name].second_step_parts > 0
-        seconds, begun = self.timeout_of(class_name, client), client.begun(self.core.loop.now)
-        wanted = SearchQuery(search, targets, client.name, self.config.buckets)
+        seconds, started = self.timeout_of(class_name, client), client.started(self.core.loop.now)
+        search_query = SearchQuery(search, targets, client.name, self.config.buckets)
         query = Query(
             class_name,
-            begun + seconds,
-            wanted.make_parts(seconds, has_two_steps, key),
-            wanted.make_second_step if has_two_steps else None,
+            started + seconds,
+            search_query.make_parts(seconds, has_two_steps, key),
+            search_query.make_second_step if has_two_steps else None,
             client.tenant,
             key,
             client.name,
         )
         if not targets:
             empty = QueryResult(QueryStatus.ANSWERED, True)
-            return QueryOutcome(empty, [], [], 0.0, wanted.merge_page([]))
+            return QueryOutcome(empty, [], [], 0.0, search_query.merge_page([]))
         result = yield from self.run(query, subscribe)
-        outcome = self._outcome_of(query, result, targets, begun)
+        outcome = self._outcome_of(query, result, targets, started)
         if result is None or result.status is not QueryStatus.ANSWERED:
             return outcome
         if has_two_steps:
-            self._add_documents(outcome, wanted, query)
+            self._add_documents(outcome, search_query, query)
         else:
-            outcome.merged = wanted.merge_page(query.parts)
+            outcome.merged = search_query.merge_page(query.parts)
         return outcome
 
-    def _add_documents(self, outcome: QueryOutcome, wanted: SearchQuery, query: Query) -> None:
-        """The page and documents of a search in two steps."""
-        if wanted.page is None and wanted.error is None:
-            wanted.make_second_step(query.parts)
-        if wanted.error is not None:
-            raise wanted.error
-        outcome.merged = wanted.page
-        outcome.documents = wanted.documents(query.second_parts)
-        outcome.lost = wanted.count_lost(outcome.documents)
+    def _add_documents(
+        self, outcome: QueryOutcome, search_query: SearchQuery, query: Query
+    ) -> None:
+        """Set the page and the documents of a search in two steps."""
+        if search_query.page is None and search_query.error is None:
+            search_query.make_second_step(query.parts)
+        if search_query.error is not None:
+            raise search_query.error
+        outcome.merged = search_query.page
+        outcome.documents = search_query.documents(query.second_parts)
+        outcome.lost = search_query.count_lost(outcome.documents)
 
     def documents(
         self,
@@ -190,7 +207,7 @@
         client: ClientInfo,
         subscribe: DisconnectSubscriber,
     ) -> Steps:
-        """Documents by id, one part for each shard; ends in a `QueryOutcome` with `documents`."""
+        """Read documents by id, with one part for each shard; returns a `QueryOutcome` with `documents`."""
         class_name = self.class_of(operation, client)
         by_target: dict[Target, list[str]] = defaultdict(list)
         for target, name in wanted:
@@ -223,10 +240,11 @@
         refresh: bool,
         subscribe: DisconnectSubscriber,
     ) -> Steps:
-        """Writes, one part for each shard.
+        """Carry out writes, with one part for each shard.
 
-        Ends in a `QueryOutcome` whose parts' answers are the nodes' items, and a list with each write's shard
-        and its place among that shard's items.
+        Returns:
+            A `QueryOutcome` whose parts' answers are the nodes' items, and a list with each write's shard and its
+            position among that shard's items.
         """
         class_name = self.class_of(operation, client)
         by_target: dict[Target, list[bytes]] = defaultdict(list)
@@ -242,7 +260,7 @@
                 target.shard,
                 b"".join(lines),
                 len(lines),
-                f"{self.boot}-{self.tokens}.{client.name}",
+                f"{self.token_prefix}-{self.tokens}.{client.name}",
                 refresh,
             )
             parts.append(QueryPart(target.place, len(lines) / len(writes), request, _items_of))
@@ -253,15 +271,17 @@
     def _one_step_query(
         self, class_name: str, client: ClientInfo, parts: list[QueryPart], key: str
     ) -> Query:
-        """A query without a second step, also where its class has two."""
-        deadline = client.begun(self.core.loop.now) + self.timeout_of(class_name, client)
+        """A query without a second step, even if its class has two steps."""
+        deadline = client.started(self.core.loop.now) + self.timeout_of(class_name, client)
         return Query(class_name, deadline, parts, None, client.tenant, key, client.name)
 
     def _outcome_of(
-        self, query: Query, result: QueryResult | None, targets: list[Target], begun: float
+        self, query: Query, result: QueryResult | None, targets: list[Target], started: float
     ) -> QueryOutcome:
         now = self.core.loop.now
-        return QueryOutcome(result, query.parts, targets, now - begun, in_time=now < query.deadline)
+        return QueryOutcome(
+            result, query.parts, targets, now - started, in_time=now < query.deadline
+        )
 
 
 def _documents_body(ids: list[str], source: Any, name: str) -> bytes:
--- a/stepknot/broker/search_query.py
+++ b/stepknot/broker/search_query.py
@@ -1,4 +1,4 @@
-"""One search as parts for its shards: the first step, the merged page, and the documents of the second step."""
+"""A search over its shards: the first step's parts, the merged page, and the documents of the second step."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
     """A search over its shards, in one step or two.
 
     Args:
-        search: What is searched for.
-        targets: The shards.
+        search: The parsed search request.
+        targets: The shards to search.
         name: The query's name at the nodes.
-        buckets: The most groups that all aggregations together may have.
+        buckets: The maximum number of groups of all aggregations together.
     """
 
     def __init__(self, search: Search, targets: list[Target], name: str, buckets: int) -> None:
         self.search, self.targets, self.name, self.buckets = search, targets, name, buckets
-        self.page: Merged | None = None  # of the first of two steps
-        self.error: RequestError | None = None  # why there is no page
-        self.document_targets: list[Target] = []  # of the second step's parts
+        self.page: Merged | None = None  # merged after the first of two steps
+        self.error: RequestError | None = None  # why the page could not be merged
+        self.document_targets: list[Target] = []  # shards of the second step's parts
 
     def make_parts(self, seconds: float, has_two_steps: bool, key: str) -> list[QueryPart]:
-        """The first step's parts; the body is encoded once for all shards."""
+        """Make the first step's parts. The body is encoded once for all shards."""
         body = orjson.dumps(shard_body(self.search, seconds, not has_two_steps, self.name))
         weight = 1 / max(len(self.targets), 1)
         return [
@@ -50,17 +50,17 @@
         ]
 
     def merge_page(self, parts: list[QueryPart]) -> Merged:
-        """The page from the parts that were served.
+        """Merge the page from the parts that were served.
 
         Raises:
-            MergeError: The shards' answers do not fit together.
-            RequestError: The page cannot be made from them.
+            MergeError: The shards' answers contradict each other.
+            RequestError: The page cannot be made from the answers.
         """
-        found: list[ShardHits] = [each.answer for each in parts if each.served]
-        return merge(self.search, found, len(found) < len(parts), self.buckets)
+        answers: list[ShardHits] = [each.answer for each in parts if each.served]
+        return merge(self.search, answers, len(answers) < len(parts), self.buckets)
 
     def make_second_step(self, parts: list[QueryPart]) -> list[QueryPart]:
-        """Merge the page; parts that fetch its documents. None are made where there is no page (`error`)."""
+        """Merge the page and make the parts that fetch its documents; no parts if merging failed (see `error`)."""
         try:
             self.page = self.merge_page(parts)
         except RequestError as error:
@@ -85,18 +85,18 @@
         return fetches
 
     def documents(self, fetches: list[QueryPart]) -> dict[tuple[Target, str], Row]:
-        """The second step's documents, by shard and id."""
+        """Documents that the second step fetched, by shard and id."""
         return documents_of(self.document_targets, fetches)
 
     def count_lost(self, documents: dict[tuple[Target, str], Row]) -> int:
-        """Hits of the page whose documents the second step did not bring."""
+        """Count the hits of the page whose documents the second step did not fetch."""
         if self.page is None or self.search.source is False:
             return 0
         return len(self.page.rows) - len(documents)
 
 
 def ids_by_shard(search: Search, rows: list[tuple[Target, Row]]) -> dict[Target, list[str]]:
-    """Ids that the second step fetches from each shard; none where no documents are wanted."""
+    """The ids that the second step fetches, by shard; empty if the search asks for no documents."""
     by_target: dict[Target, list[str]] = defaultdict(list)
     if search.source is not False:
         for target, row in rows:
@@ -105,7 +105,7 @@
 
 
 def documents_of(targets: list[Target], parts: list[QueryPart]) -> dict[tuple[Target, str], Row]:
-    """Documents of the parts that were served, by shard and id."""
+    """The documents of the parts that were served, by shard and id."""
     return {
         (target, row["_id"]): row
         for target, part in zip(targets, parts, strict=True)
@@ -115,8 +115,11 @@
 
 
 def documents_reader(ids: list[str]) -> Callable[[Any], list[Row]]:
-    """Reads an answer's documents; ValueError where they are not among those asked for, or one comes twice."""
-    wanted = frozenset(ids)
+    """A decoder of an answer's documents.
+
+    It raises ValueError if a document was not requested or occurs twice.
+    """
+    requested = frozenset(ids)
 
     def read(payload: Any) -> list[Row]:
         try:
@@ -124,7 +127,7 @@
             names = [row["_id"] for row in rows]
         except (KeyError, TypeError) as error:
             raise ValueError(str(error)) from error
-        if len(set(names)) != len(names) or not wanted.issuperset(names):
+        if len(set(names)) != len(names) or not requested.issuperset(names):
             raise ValueError("other documents than were asked for")
         return list(rows)
 
--- a/stepknot/broker/service.py
+++ b/stepknot/broker/service.py
@@ -149,7 +149,7 @@
             self.loop, self.pool, codec, config.settings.parts_per_call, self.log
         )
         options = CoreOptions(
-            max_queries=config.held, name=self.name, zones=self.zones, promised=config.tenants
+            max_queries=config.held, name=self.name, zones=self.zones, tenant_shares=config.tenants
         )
         return Core(self.loop, config.settings, seed, transport, self.log, options)
 
--- a/stepknot/broker/shard_targets.py
+++ b/stepknot/broker/shard_targets.py
@@ -1,4 +1,4 @@
-"""Shards that a search goes to."""
+"""Determines the shards of a search."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def target_of(index: Index, routing: str) -> Target:
-    """The shard that this routing value leads to."""
+    """The shard that holds documents with this routing value."""
     shard = shard_of(routing, index.shards, index.routing_shards)
     return Target(index.name, shard, index.first + shard)
 
@@ -18,9 +18,14 @@
 def shard_targets(
     indices: list[Index], routing: str = "", only: frozenset[int] | None = None
 ) -> list[Target]:
-    """All shards, only those of these numbers, or those that the routing values (comma-separated) lead to.
+    """The shards of the indices: all, only those with the given numbers, or those of the routing values.
 
-    The list may be shared: it must not be changed.
+    The returned list may be shared by callers: it must not be changed.
+
+    Args:
+        indices: The indices to search.
+        routing: Routing values, separated by commas; "" for no routing.
+        only: Numbers of shards within their index; None for all.
     """
     if routing:
         values = routing.split(",")
--- a/stepknot/broker/tenant_shares.py
+++ b/stepknot/broker/tenant_shares.py
@@ -1,27 +1,27 @@
-"""Tenants' traffic against the shares promised to them."""
+"""Compares each tenant's traffic with its configured share."""
 
 from __future__ import annotations
 
 from stepknot.zones.decay import DecayingRate
 
 TENANT_MEMORY = 5.0  # seconds over which a tenant's traffic is measured
-TENANT_TOLERANCE = 1.1  # a tenant may exceed its share by this factor
+TENANT_TOLERANCE = 1.1  # factor by which a tenant may exceed its share
 
 
 class TenantShares:
     """Measures each tenant's share of the traffic.
 
     Args:
-        promised: The share of the traffic that each tenant was promised, from 0 to 1.
+        shares: The configured share of the traffic of each tenant, from 0 to 1.
     """
 
-    def __init__(self, promised: dict[str, float]) -> None:
-        self.promised = promised
-        self.rates = {name: DecayingRate(TENANT_MEMORY) for name in promised}
+    def __init__(self, shares: dict[str, float]) -> None:
+        self.shares = shares
+        self.rates = {name: DecayingRate(TENANT_MEMORY) for name in shares}
 
     def is_over_share(self, now: float, tenant: str) -> bool:
-        """Record a query of this tenant; whether the tenant sends more than its share by now."""
-        share = self.promised.get(tenant)
+        """Record a query of this tenant; returns whether the tenant now exceeds its share by `TENANT_TOLERANCE`."""
+        share = self.shares.get(tenant)
         if share is None:
             return False
         own = self.rates[tenant]
--- a/stepknot/broker/zone_change_log.py
+++ b/stepknot/broker/zone_change_log.py
@@ -1,4 +1,4 @@
-"""Log events for zones that changed their state."""
+"""Log events for changes of zones' states."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from dataclasses import asdict
 from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:  # its package is loaded only where zones are configured
+if TYPE_CHECKING:  # the zones package is loaded only where zones are configured
     from stepknot.zones.failover import ZoneFailover
 
 
--- a/tests/broker/test_stalls_and_shutdown.py
+++ b/tests/broker/test_stalls_and_shutdown.py
@@ -171,7 +171,7 @@
         left = [
             each
             for each in gc.garbage
-            if isinstance(each, Query) and each.name.startswith(run.service.queries.boot)
+            if isinstance(each, Query) and each.name.startswith(run.service.queries.token_prefix)
         ]
     finally:
         gc.set_debug(0)
--- a/tests/platform/test_hard_cases.py
+++ b/tests/platform/test_hard_cases.py
@@ -156,7 +156,7 @@
             core.on_client_disconnected(ask)
 
         found.call(fail_and_leave)
-        until(lambda: not core.inbox and not module.queries)
+        until(lambda: not core.pending_events and not module.queries)
         assert found.call(
             lambda: [
                 len(module.attempts),
