--- a/stepknot/broker/admin/lease_commands.py
+++ b/stepknot/broker/admin/lease_commands.py
@@ -1,4 +1,4 @@
-"""Admin commands for the fleet's jobs: orders to a job, and giving up its lease."""
+"""Admin commands for the fleet's jobs: submit an order to a job, and give up the job's lease."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from stepknot.net.tasks import Coroutine
 
 MAX_NUMBER_CHARACTERS = 32
-POLL_INTERVAL = 0.02  # seconds between two looks whether an order is in the ledger
+POLL_INTERVAL = 0.02  # seconds between two checks whether an order is in the ledger
 
 
 class LeaseCommands:
@@ -26,7 +26,7 @@
 
     Args:
         loop: The broker's loop.
-        leases: This broker's part in the leases of jobs.
+        leases: Runs the leases of jobs on this broker.
     """
 
     def __init__(self, loop: Loop, leases: LeaseDriver) -> None:
@@ -39,7 +39,7 @@
             status = (
                 HTTPStatus.METHOD_NOT_ALLOWED if request.method != "POST" else HTTPStatus.NOT_FOUND
             )
-            error = f"POST, for one of these jobs: {', '.join(jobs)}"
+            error = f"expected POST with the parameter job set to one of: {', '.join(jobs)}"
             return json_response(status, ErrorAnswer(error))
         if request.path == "/owner/yield":
             return self._yield_lease(job)
@@ -48,25 +48,27 @@
 
     def _yield_lease(self, job: str) -> object:
         node = self.leases.node
-        done: list[bool] = []
-        self.leases.guarded(lambda now: done.append(node.hand_over(now, job, "an operator's word")))
-        if done == [True]:
+        results: list[bool] = []  # empty if the step failed
+        self.leases.run_step(
+            lambda now: results.append(node.hand_over(now, job, "an operator's request"))
+        )
+        if results == [True]:
             return json_response(HTTPStatus.OK, LeaseYielded(True))
-        error = f"{job} is not owned here"
+        error = f"this broker does not hold the lease of job {job}"
         return json_response(HTTPStatus.CONFLICT, LeaseNotHeld(error, node.jobs[job].holder_name))
 
     def _order(self, job: str, number: str, body: bytes) -> Coroutine:
         """Wait until the order is in the ledger, or rejected."""
         node, key = self.leases.node, number[:MAX_NUMBER_CHARACTERS]
-        problems: list[str] = []  # one entry at the end, "" where the order was accepted
+        problems: list[str] = []  # finally one entry: why the order was rejected, "" if it was accepted
 
-        def begin(now: float) -> None:
+        def submit(now: float) -> None:
             try:
                 node.submit_command(now, job, key, body)
             except ValueError as error:
                 problems.append(str(error))
 
-        self.leases.guarded(begin)
+        self.leases.run_step(submit)
         while not problems:
             answer = node.take_command_answer(key)
             if answer is not None:
--- a/stepknot/broker/durable_file.py
+++ b/stepknot/broker/durable_file.py
@@ -1,4 +1,4 @@
-"""Replacing a file so that whatever fails, it is as before or as after."""
+"""Replaces a file atomically: after any failure it has either its previous or its new content."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 def replace_file(path: Path, new_path: Path, data: bytes) -> None:
-    """Write the data to a new file beside `path`, and rename it over it once it is on disk.
+    """Write the data to `new_path`, and rename that file to `path` once it is on disk.
 
     Raises:
-        OSError: It cannot be written; the file at `path` is the one before.
+        OSError: The data cannot be written; the file at `path` is unchanged.
     """
     with new_path.open("wb") as file:
         file.write(data)
--- a/stepknot/broker/lease_driver.py
+++ b/stepknot/broker/lease_driver.py
@@ -1,6 +1,6 @@
-"""Leases on the broker's loop: datagrams by membership's socket, ticks, the voter's disk, log events, metrics.
+"""Runs leases on the broker's loop: datagrams on membership's socket, ticks, the voter's disk, log events, metrics.
 
-No query waits for it. A voter's replies leave once the state that they depend on is on disk (invariant 2).
+No query waits for leases. A voter's replies are sent only when the state that they depend on is on disk (invariant 2).
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 from stepknot.membership.model import State
 from stepknot.net.loop import Loop
 
-TICK_FRACTION = 0.05  # of a lease
-MAX_HELD_REPLIES = 1000  # that wait for the disk; a further one is lost like a datagram
+TICK_FRACTION = 0.05  # seconds between two ticks, as a fraction of the lease
+MAX_HELD_REPLIES = 1000  # replies that wait for the disk; further replies are dropped, like lost datagrams
 BIRTH_MASK = 2**62 - 1
 Log = Callable[..., None]
 
 
 class HeldReply(NamedTuple):
-    """A reply that waits until the save with that number is on disk."""
+    """A reply that is sent once the save with number `save_number` is on disk."""
 
     save_number: int
     receiver: str
@@ -48,7 +48,7 @@
 
 
 class SaveResult(NamedTuple):
-    """The writer's result; the error is empty if there was none."""
+    """The result of a save; the error is empty if the save succeeded."""
 
     save_number: int
     error: str
@@ -59,33 +59,33 @@
     """The parts of the broker that leases need."""
 
     loop: Loop
-    peering: MembershipDriver
+    membership: MembershipDriver
     core: Core
     endpoints: DrainedEndpoints
     log: Log
 
 
 class LeaseDriver:
-    """Carries out what the lease node decides."""
+    """Runs the lease node and carries out its output."""
 
     def __init__(self, config: LeaseConfig, broker: BrokerParts, seed: int) -> None:
-        """Load the voter's state and begin to tick.
+        """Load the voter's state and start the ticks.
 
         Raises:
             OSError: The voter's state cannot be read.
-            VoterStateMismatchError: The state is another voter's, fleet's or version's.
+            VoterStateMismatchError: The state belongs to another voter or fleet, or has another format version.
         """
         self.settings = config.settings
         self._loop = broker.loop
-        self._peering = broker.peering
+        self._membership = broker.membership
         self._log = broker.log
         self._writer: VoterStateWriter | None = None
-        self._save_count = 0  # saves that were begun
-        self._saved_count = 0  # saves that are on disk
+        self._save_count = 0  # number of the last save that was started
+        self._saved_count = 0  # number of the last save that is on disk
         self._held_replies: deque[HeldReply] = deque()
-        self._save_results: deque[SaveResult] = deque()  # from the writer's thread
-        self._was_voting: bool | None = None  # as logged last
-        process = ProcessId(broker.peering.protocol.own.name, seed & BIRTH_MASK)
+        self._save_results: deque[SaveResult] = deque()  # filled by the writer's thread
+        self._was_voting: bool | None = None  # the state that was logged last
+        process = ProcessId(broker.membership.protocol.own.name, seed & BIRTH_MASK)
         voter = self._open_voter(process.name, config) if config.state_folder is not None else None
         drains = RollingDrains(
             broker.loop.clock, self.settings, broker.core.counts, broker.endpoints, broker.log
@@ -93,16 +93,16 @@
         self.node = LeaseNode(
             process, self.settings, voter, {JOB_NAME: drains.handler()}, seed, self._is_member
         )
-        broker.peering.other_protocols[DATAGRAM_MARK] = self._on_datagram
+        broker.membership.other_protocols[DATAGRAM_MARK] = self._on_datagram
         self._timer = broker.loop.call_later(0.0, self._tick)
 
     # For the broker
 
-    def guarded(self, step: Callable[[float], object]) -> None:
-        """Do one step of the node and carry out its output.
+    def run_step(self, step: Callable[[float], object]) -> None:
+        """Run one step of the node and carry out its output.
 
-        The clock is read anew: a process that stood still in the middle of a turn of its loop must find out here.
-        A defect of leases is reported and fails no query.
+        The clock is read here instead of once per iteration of the loop, so that the node notices if the process was
+        paused in the middle of an iteration. An error in the code of leases is reported, and queries are not affected.
         """
         try:
             step(self._loop.clock())
@@ -112,10 +112,10 @@
 
     def leave(self) -> None:
         """Shut down gracefully: hand over all jobs."""
-        self.guarded(self.node.leave)
+        self.run_step(self.node.leave)
 
     def close(self) -> None:
-        """End the timer and the writer."""
+        """Stop the timer and the writer."""
         self._timer.cancel()
         if self._writer is not None:
             self._writer.close()
@@ -123,11 +123,11 @@
             self._save_signal.close()
 
     def view(self) -> dict[str, Any]:
-        """The admin answer."""
+        """The admin answer of `/owner`."""
         return build_leases_view(self.node, self._loop.clock(), self._saved_count)
 
     def collect(self) -> list[Metric]:
-        """The metrics."""
+        """The metrics of leases."""
         node, now = self.node, self._loop.clock()
         metrics: list[Metric] = []
         gauges: tuple[tuple[str, str, Callable[[Job], float]], ...] = (
@@ -155,24 +155,24 @@
     # The loop
 
     def _is_member(self, name: str) -> bool:
-        record = self._peering.protocol.table.present.get(name)
+        record = self._membership.protocol.table.present.get(name)
         return record is not None and record.state is not State.SUSPECT
 
     def _tick(self) -> None:
         members = [
             name
-            for name, record in self._peering.protocol.table.present.items()
+            for name, record in self._membership.protocol.table.present.items()
             if record.state is State.ALIVE
         ]
-        self.guarded(lambda now: self.node.tick(now, members))
+        self.run_step(lambda now: self.node.tick(now, members))
         tick_seconds = TICK_FRACTION * self.settings.lease_seconds
         self._timer = self._loop.call_later(tick_seconds, self._tick)
 
     def _on_datagram(self, data: bytes) -> None:
-        self.guarded(lambda now: self.node.receive(now, data))
+        self.run_step(lambda now: self.node.receive(now, data))
 
     def carry_out(self) -> None:
-        """Begin the save, send the datagrams, log the events: in that order."""
+        """Carry out the node's output: start the save, then send the datagrams, then log the events."""
         output = self.node.take_output()
         if output.voter_state is not None and self._writer is not None:
             self._begin_save(self._writer, output.voter_state)
@@ -192,7 +192,7 @@
     def _send(self, receiver: str, data: bytes) -> None:
         if receiver == self.node.process.name:
             self._loop.call_later(0.0, lambda: self._on_datagram(data))
-        elif not self._peering.send_to(receiver, data):
+        elif not self._membership.send_to(receiver, data):
             self.node.counters["no address"] += 1
 
     def _log_event(self, event: LeaseEvent) -> None:
@@ -202,7 +202,7 @@
             self._log("lease_acquired", job=event.job, epoch=event.epoch)
 
     def _log_voting(self) -> None:
-        """Log when this broker's voter begins or ends to vote."""
+        """Log when this broker's voter starts or stops voting."""
         voter = self.node.voter
         if voter is None or voter.is_voting == self._was_voting:
             return
@@ -232,25 +232,25 @@
         writer.save(self._save_count, encode_state(state))
 
     def _on_saved(self, number: int, error: str) -> None:
-        """On the writer's thread: wake the loop."""
+        """Store the result of a save and wake the loop. Called on the writer's thread."""
         self._save_results.append(SaveResult(number, error))
-        with contextlib.suppress(OSError):  # the next save's datagram wakes the loop as well
+        with contextlib.suppress(OSError):  # if this datagram fails, that of the next save wakes the loop
             self._save_signal.sendto(b"", self._save_inbox.address)
 
     def _on_save_signal(self, source: object, data: bytes) -> None:
-        """The writer has results."""
+        """Take the writer's results."""
         del source, data
         self._take_save_results()
-        self.guarded(_do_nothing)
+        self.run_step(_do_nothing)
 
     def _take_save_results(self) -> None:
-        """Send the replies that waited for the disk; once a save failed, nothing that depends on it is sent."""
+        """Send the replies whose save is on disk; after a failed save no reply that depends on a save is sent."""
         while self._save_results:
             result = self._save_results.popleft()
             voter = self.node.voter
             assert voter is not None
             if result.error and not voter.failure:
-                voter.failure = f"its state cannot be written: {result.error}"
+                voter.failure = f"the voter's state cannot be written: {result.error}"
                 self._held_replies.clear()
                 self._log("voter_state_save_failed", reason=voter.failure)
             if voter.failure:
@@ -262,5 +262,5 @@
 
 
 def _do_nothing(now: float) -> None:
-    """A step of which only the output counts that waits already."""
+    """A step that does nothing: running it carries out the output that the node already has."""
     del now
--- a/stepknot/broker/lease_views.py
+++ b/stepknot/broker/lease_views.py
@@ -1,4 +1,4 @@
-"""Admin answers about leases: what `GET /owner` shows. Field names on the wire are the answer's keys."""
+"""The admin answer of `GET /owner` about leases. Its keys are the names given to `msgspec.field`, or the fields' own."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class JobLeaseView(msgspec.Struct, frozen=True):
-    """What this broker knows of one job's lease; times in seconds before or after now."""
+    """What this broker knows about one job's lease. Times are in seconds, relative to now."""
 
     job: str
-    holder: str = msgspec.field(name="owner")  # empty where none announced itself within a lease
+    holder: str = msgspec.field(name="owner")  # empty if no holder announced itself within a lease
     last_holder: str = msgspec.field(name="last_owner")
     epoch: int
     is_held_here: bool = msgspec.field(name="here")
@@ -48,7 +48,7 @@
 
 
 class VoterView(msgspec.Struct, frozen=True):
-    """This broker's voter."""
+    """The state of this broker's voter."""
 
     is_voting: bool = msgspec.field(name="votes")
     incarnation: int = msgspec.field(name="life")
@@ -58,7 +58,7 @@
 
 
 class LeasesView(msgspec.Struct, frozen=True):
-    """The whole answer, without the broker's name."""
+    """The complete answer, except for the broker's name."""
 
     name: str
     voters: list[str]
@@ -70,12 +70,12 @@
 
 
 def build_leases_view(node: LeaseNode, now: float, saves: int) -> dict[str, Any]:
-    """The answer as it is encoded in JSON.
+    """The answer as plain JSON values.
 
     Args:
-        node: This broker's leases.
-        now: The broker's clock.
-        saves: How many saves of the voter's state are on disk.
+        node: This broker's lease node.
+        now: The time by the broker's clock.
+        saves: The number of saves of the voter's state that are on disk.
     """
     fence = node.jobs[rolling_drains.JOB_NAME].fence
     view = LeasesView(
@@ -87,12 +87,12 @@
         voter=_voter_view(node.voter, saves) if node.voter is not None else None,
         counters=dict(node.counters),
     )
-    found: dict[str, Any] = msgspec.to_builtins(view)
-    return found
+    answer: dict[str, Any] = msgspec.to_builtins(view)
+    return answer
 
 
 def is_holder_known(job: Job, now: float) -> bool:
-    """Whether a lease holder announced itself within a lease."""
+    """Whether a lease holder announced itself within the last lease duration."""
     return now - job.holder_seen_at <= job.candidate.settings.lease_seconds
 
 
--- a/stepknot/broker/membership_driver.py
+++ b/stepknot/broker/membership_driver.py
@@ -1,6 +1,6 @@
-"""Membership on the broker's loop: its socket and its ticks, its log events, and the count for the decisions.
+"""Runs membership on the broker's loop: its socket and ticks, its log events, and the number of brokers.
 
-No query waits for it; its share of a turn of the loop is a few datagrams.
+No query waits for membership. In each iteration of the loop it handles only a few datagrams.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from stepknot.net.loop import Loop
 from stepknot.net.tasks import Coroutine
 
-LEAVE_TICKS = 4  # for which a leave is announced
+LEAVE_TICKS = 4  # ticks for which a leaving broker keeps announcing that it leaves
 
 
 class MembershipDriver:
@@ -34,14 +34,14 @@
 
     Args:
         loop: The broker's loop.
-        peers: The `peers` block.
-        seed: Of random choices, and of the own record's birth.
-        on_count: Takes the upper bound of the count of brokers, at each change.
-        log: Takes log events.
+        peers: The `peers` block of the settings.
+        seed: The seed of random choices, and the birth number of this broker's record.
+        on_count: Called with the upper bound of the number of brokers whenever it changes.
+        log: Writes a log event, given its name and fields.
         wall: The wall clock, in seconds.
 
     Raises:
-        OSError: The address is taken.
+        OSError: The address is already in use.
     """
 
     def __init__(
@@ -64,10 +64,10 @@
         )
         self.last_count: MemberCount | None = None
         self.was_isolated = False
-        self.logged_stepping_aside = False
-        # Other protocols on this socket, by a datagram's first byte.
+        self.has_logged_name_conflict = False
+        # Handlers of other protocols that share the socket, by the first byte of their datagrams.
         self.other_protocols: dict[bytes, Callable[[bytes], None]] = {}
-        self.addresses: dict[str, Address] = {}  # of members, as last known
+        self.addresses: dict[str, Address] = {}  # last known address of each member
         if peers.settings.seeds and not self.protocol.join.seeds:
             log("only_own_seed_configured", address=f"{address[0]}:{address[1]}")
         self.timer = loop.call_later(0.0, self.tick)
@@ -75,12 +75,12 @@
     # --- events of the loop
 
     def tick(self) -> None:
-        """Run one tick and set the timer of the next one."""
+        """Run one tick of the protocol and set the timer for the next one."""
         self._run(self.protocol.tick)
         self.timer = self.loop.call_later(self.settings.tick_interval, self.tick)
 
     def on_datagram(self, source: tuple[Any, ...], data: bytes) -> None:  # noqa: ARG002
-        """Hand a datagram to its protocol."""
+        """Pass a datagram to the protocol that its first byte indicates."""
         other = self.other_protocols.get(data[:1])
         if other is not None:
             other(data)
@@ -88,11 +88,11 @@
             self._run(lambda now: self.protocol.receive(now, data))
 
     def leave(self) -> None:
-        """Announce the leave."""
+        """Start announcing that this broker leaves the fleet."""
         self._run(self.protocol.leave)
 
     def end(self) -> Coroutine:
-        """Announce the leave a few times more, then close the socket."""
+        """Keep announcing the leave for `LEAVE_TICKS` ticks, then close the socket."""
         for _ in range(LEAVE_TICKS):
             yield from self.loop.sleep(self.settings.tick_interval)
         self.timer.cancel()
@@ -101,10 +101,10 @@
     # --- for other protocols
 
     def send_to(self, name: str, data: bytes) -> bool:
-        """Send to a member, also to one that is held dead or was forgotten.
+        """Send a datagram to a member, even if it is considered dead or its record was removed.
 
         Returns:
-            Whether its address is known.
+            Whether the member's address is known.
         """
         record = self.protocol.table.records.get(name)
         if record is not None:
@@ -117,21 +117,21 @@
     # --- for operators
 
     def view(self) -> dict[str, Any]:
-        """The answer to `stepknot peers`, as plain JSON values of a `PeersView`."""
+        """The admin answer for `stepknot peers`: a `PeersView` as plain JSON values."""
         view: dict[str, Any] = msgspec.to_builtins(peers_view(self.protocol, self.loop.clock()))
         return view
 
     def collect(self) -> list[Metric]:
-        """Metrics."""
+        """The membership metrics."""
         return membership_metrics(self.protocol, self.loop.clock())
 
     # --- helpers
 
     def _run(self, event: Callable[[float], None]) -> None:
-        """Hand an event to the protocol and carry out the results.
+        """Pass an event to the protocol and carry out the results.
 
-        The clock is read here, not once a turn: a process that was stopped in the middle of a turn must find out. A
-        defect of membership is reported and fails no query.
+        The clock is read here instead of once per iteration of the loop, so that the protocol notices if the process
+        was paused in the middle of an iteration. An error in membership code is reported, and queries are not affected.
         """
         now = self.loop.clock()
         try:
@@ -147,7 +147,7 @@
         for change in changes:
             self._log_change(change)
         self._log_own_state()
-        self._pass_on_count(now)
+        self._report_count(now)
 
     def _log_change(self, change: StateChange) -> None:
         self.log(
@@ -167,11 +167,11 @@
                 "isolation_began" if self.was_isolated else "isolation_ended",
                 reason=isolation.reason,
             )
-        if self.protocol.member.stepped_aside and not self.logged_stepping_aside:
-            self.logged_stepping_aside = True
+        if self.protocol.member.stepped_aside and not self.has_logged_name_conflict:
+            self.has_logged_name_conflict = True
             self.log("name_conflict_lost", reason=isolation.reason)
 
-    def _pass_on_count(self, now: float) -> None:
+    def _report_count(self, now: float) -> None:
         count, last = self.protocol.count(now), self.last_count
         if count == last:
             return
@@ -181,10 +181,10 @@
 
 
 def first_record(name: str, address: Address, wall_seconds: float, seed: int) -> Record:
-    """The record with which a process joins.
+    """The record with which a process joins the fleet.
 
-    The wall clock's milliseconds are a first guess of an epoch above all earlier ones; where that is wrong, the seeds
-    correct it.
+    Its epoch should exceed the epochs of all earlier processes of this name. The wall clock's milliseconds are a first
+    estimate; if the estimate is too low, the seeds' answers correct it.
     """
     epoch = min(max(int(wall_seconds * 1000), 0), MAX_EPOCH - 1)
     return Record(name, *address, epoch, seed & 0xFFFFFFFF, 0, State.JOINING)
--- a/stepknot/broker/membership_view.py
+++ b/stepknot/broker/membership_view.py
@@ -1,4 +1,4 @@
-"""What operators see of membership: the answer to `stepknot peers`, and the metrics. Keys and labels are stable."""
+"""Membership for operators: the admin answer for `stepknot peers`, and the metrics. Keys and labels must not change."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class MemberRow(msgspec.Struct, frozen=True):
-    """One member; ages in seconds, none: never, or not observed here."""
+    """One member. Ages are in seconds; an age is None if the event never happened or is not observed by this broker."""
 
     name: str
     state: str
@@ -24,13 +24,13 @@
     epoch: int
     incarnation: int
     is_self: bool = msgspec.field(name="self")
-    since: float | None  # the last change of its state
-    why: str
-    watched: bool  # whether this member observes it
-    heard: float | None
-    sign: float | None
-    sign_by: str
-    hears_me: float | None
+    state_age: float | None = msgspec.field(name="since")  # of the last change of its state
+    state_reason: str = msgspec.field(name="why")
+    is_observed: bool = msgspec.field(name="watched")  # whether this broker observes the member
+    received_age: float | None = msgspec.field(name="heard")  # of the last datagram from the member
+    sign_age: float | None = msgspec.field(name="sign")  # of the newest sign of life
+    sign_source: str = msgspec.field(name="sign_by")  # the member that received or reported it
+    received_by_it_age: float | None = msgspec.field(name="hears_me")
     reachable: bool
     reaches_me_by_report: bool
 
@@ -42,41 +42,41 @@
     fleet: str
     version: int
     digest: str
-    joined: bool
-    isolated: bool
-    isolated_why: str
-    stepped_aside: bool
-    stood_still: float  # seconds, the last time
+    has_joined: bool = msgspec.field(name="joined")
+    is_isolated: bool = msgspec.field(name="isolated")
+    isolation_reason: str = msgspec.field(name="isolated_why")
+    lost_name_conflict: bool = msgspec.field(name="stepped_aside")
+    last_stall: float = msgspec.field(name="stood_still")  # seconds of the last pause of the process
     live: int
     suspect: int
-    at_least: int
-    at_most: int
-    sure: bool
+    lower_bound: int = msgspec.field(name="at_least")  # bounds of the number of brokers
+    upper_bound: int = msgspec.field(name="at_most")
+    is_certain: bool = msgspec.field(name="sure")
     counters: dict[str, int]
-    not_taken: int
+    rejected_records: int = msgspec.field(name="not_taken")
     members: list[MemberRow]
 
 
 def peers_view(protocol: MembershipProtocol, now: float) -> PeersView:
-    """All that this member knows of the fleet."""
+    """Everything that this broker knows about the fleet."""
     table, count = protocol.table, protocol.count(now)
     return PeersView(
         name=protocol.own.name,
         fleet=protocol.settings.fleet,
         version=table.version,
         digest=f"{table.digest:016x}",
-        joined=protocol.member.has_joined,
-        isolated=protocol.isolation.is_isolated,
-        isolated_why=protocol.isolation.reason,
-        stepped_aside=protocol.member.stepped_aside,
-        stood_still=protocol.health.last_stall,
+        has_joined=protocol.member.has_joined,
+        is_isolated=protocol.isolation.is_isolated,
+        isolation_reason=protocol.isolation.reason,
+        lost_name_conflict=protocol.member.stepped_aside,
+        last_stall=protocol.health.last_stall,
         live=table.counts[State.ALIVE],
         suspect=table.counts[State.SUSPECT],
-        at_least=count.lower_bound,
-        at_most=count.upper_bound,
-        sure=count.is_certain,
+        lower_bound=count.lower_bound,
+        upper_bound=count.upper_bound,
+        is_certain=count.is_certain,
         counters=dict(protocol.counters),
-        not_taken=table.refused,
+        rejected_records=table.refused,
         members=[_member_row(protocol, now, record) for _, record in sorted(table.records.items())],
     )
 
@@ -94,20 +94,20 @@
         epoch=record.epoch,
         incarnation=record.incarnation,
         is_self=record.name == protocol.own.name,
-        since=age(now, change.at if change is not None else -math.inf),
-        why=change.reason if change is not None else "",
-        watched=is_observed,
-        heard=age(now, subject.last_received),
-        sign=age(now, subject.last_sign),
-        sign_by=subject.last_sign_source,
-        hears_me=age(now, subject.last_received_by_it),
+        state_age=age(now, change.at if change is not None else -math.inf),
+        state_reason=change.reason if change is not None else "",
+        is_observed=is_observed,
+        received_age=age(now, subject.last_received),
+        sign_age=age(now, subject.last_sign),
+        sign_source=subject.last_sign_source,
+        received_by_it_age=age(now, subject.last_received_by_it),
         reachable=now - subject.last_received <= settings.suspect_after,
         reaches_me_by_report=now - subject.last_received_by_it <= receives_me_after,
     )
 
 
 def membership_metrics(protocol: MembershipProtocol, now: float) -> list[Metric]:
-    """Members by state, events, the count's bounds and this member's own state."""
+    """Metrics of members by state, events, the bounds of the number of brokers, and this broker's isolation."""
     count = protocol.count(now)
     gauges = (
         ("at_least", count.lower_bound, "Brokers proven to be there"),
--- a/stepknot/broker/query_group.py
+++ b/stepknot/broker/query_group.py
@@ -35,7 +35,7 @@
             callback()
 
     def subscribe(self, callback: OnDisconnected) -> None:
-        """Register a callback of one of the group's queries; it is called now if the client has already disconnected."""
+        """Register a query's callback for the disconnect; it is called now if the client has already disconnected."""
         if self.is_disconnected:
             callback()
         else:
--- a/stepknot/broker/rolling_drains.py
+++ b/stepknot/broker/rolling_drains.py
@@ -1,4 +1,4 @@
-"""The rolling drains job on a broker: its steps with the broker's endpoint list, clock and count of failed queries."""
+"""Runs the rolling drains job on a broker, with the broker's endpoint list, clock and counts of failed queries."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 FAILURE_WINDOW = 10.0  # seconds over which failed queries are counted
 FAILURE_SAMPLE_INTERVAL = 0.1  # seconds
-MIN_SAMPLES = 2  # that are kept
-MIN_QUERIES = 20  # in the window; of fewer no failing fraction is derived
+MIN_SAMPLES = 2  # samples that are kept even if they are older than the window
+MIN_QUERIES = 20  # with fewer queries in the window, the failing fraction counts as 0
 FAILED_COUNTS = ("refused", "failed", "shed", "over_bound")
 Log = Callable[..., None]
 
 
 class QuerySample(NamedTuple):
-    """The broker's counts at one time, since its start."""
+    """The broker's counts of queries since its start, at one point in time."""
 
     taken_at: float
     total: int
@@ -36,16 +36,16 @@
     """The fraction of this broker's queries that failed in the last `FAILURE_WINDOW` seconds."""
 
     def __init__(self, now: float, counts: Mapping[str, int]) -> None:
-        """`counts` are the broker's counts of queries by outcome."""
+        """Start with no queries counted; `counts` are the broker's counts of queries by outcome."""
         self._counts = counts
         self._samples = deque([QuerySample(now, 0, 0)])
 
     def is_sample_due(self, now: float) -> bool:
-        """Whether the last sample is old enough for another one."""
+        """Whether `FAILURE_SAMPLE_INTERVAL` has passed since the last sample."""
         return now >= self._samples[-1].taken_at + FAILURE_SAMPLE_INTERVAL
 
     def failing_fraction(self, now: float) -> float:
-        """Take a sample; returns the fraction, or 0 of fewer than `MIN_QUERIES` queries."""
+        """Take a sample; returns the failing fraction, or 0 if there were fewer than `MIN_QUERIES` queries."""
         samples = self._samples
         failed = sum(self._counts[name] for name in FAILED_COUNTS)
         samples.append(QuerySample(now, failed + self._counts["answered"], failed))
@@ -57,7 +57,7 @@
 
 
 class RollingDrains:
-    """Carries out the job's decisions (`stepknot.leases.rolling_drains`) and applies its records to the list."""
+    """Carries out the decisions of the job (`stepknot.leases.rolling_drains`), and applies its records to the list."""
 
     def __init__(
         self,
@@ -67,14 +67,14 @@
         endpoints: DrainedEndpoints,
         log: Log,
     ) -> None:
-        """Take the parts of the broker that the job needs.
+        """Start without a scheduled step; `on_lease_acquired` schedules the first one.
 
         Args:
             clock: The broker's clock.
-            settings: The lease, which bounds how fast steps follow each other.
+            settings: The settings of leases; the lease duration limits how fast the steps follow each other.
             counts: The broker's counts of queries by outcome.
-            endpoints: The endpoint list that drains are applied to.
-            log: Writes a log event.
+            endpoints: The endpoint list to which drains are applied.
+            log: Writes a log event, given its name and fields.
         """
         self._clock = clock
         self._settings = settings
@@ -93,12 +93,12 @@
         )
 
     def on_lease_acquired(self, now: float, value: bytes) -> None:
-        """A new lease holder does not know when the last step was: it waits as long as after a step."""
+        """Schedule the first step. A new holder does not know when the last step was, so it waits as after a step."""
         state = rolling_drains.decode_state(value)
         self._next_step_at = now + rolling_drains.seconds_until_next_step(state)
 
     def next_value(self, now: float, value: bytes) -> bytes | None:
-        """The record after the next step, if it is due and changes something."""
+        """The record after the next step; None if no step is due or the step changes nothing."""
         is_step_due = now >= self._next_step_at
         failing = 0.0
         if is_step_due or self._meter.is_sample_due(now):
@@ -108,20 +108,20 @@
         before = rolling_drains.decode_state(value)
         after = rolling_drains.next_state(before, self._nodes(), failing)
         if after is None:
-            self._next_step_at = now + self._settings.renewal_interval  # the next look
+            self._next_step_at = now + self._settings.renewal_interval  # checks again then
             return None
-        # A node is drained for the time that was commanded. A node that was given back is announced
-        # to all members for a lease before the next one is drained.
-        is_given_back = len(after.drained) < len(before.drained)
+        # A node stays drained for the time that the command specifies. After a node is returned to service, the next
+        # node is drained only after a lease, in which all members learn of the return.
+        is_returned = len(after.drained) < len(before.drained)
         pause = rolling_drains.seconds_until_next_step(after)
-        self._next_step_at = now + (self._settings.lease_seconds if is_given_back else pause)
+        self._next_step_at = now + (self._settings.lease_seconds if is_returned else pause)
         return rolling_drains.encode_state(after)
 
     def apply_command(self, value: bytes, number: str, body: bytes) -> bytes:
         """The record after an operator's command.
 
         Raises:
-            CommandRejectedError: The command cannot be taken.
+            CommandRejectedError: The command is not valid in the job's present state.
         """
         before = rolling_drains.decode_state(value)
         after = rolling_drains.apply_command(before, number, body, self._nodes())
--- a/stepknot/broker/subset_change_log.py
+++ b/stepknot/broker/subset_change_log.py
@@ -1,4 +1,4 @@
-"""Log events for changes of the subset: few changes one by one, many in one event."""
+"""Log events for changes of the subset. A few changes are logged one by one, many changes in one event."""
 
 from __future__ import annotations
 
@@ -9,27 +9,26 @@
 
 Log = Callable[..., None]
 
-MAX_LOGGED_CELLS = (
-    8  # with an event of their own; of more changes one event has the number and the first cells
-)
-MAX_LOGGED_NODES = 16  # addresses in an event, of each kind; their number is given too
-FLUSH_INTERVAL = 1.0  # seconds after which changes are logged though the work goes on
+# Up to this many changes get an event each. More changes get one event with their number and the first cells.
+MAX_LOGGED_CELLS = 8
+MAX_LOGGED_NODES = 16  # addresses per event of nodes that entered, and of nodes that left
+FLUSH_INTERVAL = 1.0  # seconds after which collected changes are logged even if there is more work
 
 
 class SubsetChangeLog:
     """Collects changes until they are logged as `subset_changed`.
 
     Attributes:
-        total: Changes since the start of the process, by cause.
+        total: Number of changes since the start of the process, by cause.
     """
 
     def __init__(self, clock: Callable[[], float], log: Log) -> None:
         self.total: Counter[ChangeCause] = Counter()
         self._clock = clock
         self._log = log
-        self._first_changes: list[SubsetChange] = []  # MAX_LOGGED_CELLS of the collected ones
+        self._first_changes: list[SubsetChange] = []  # the first MAX_LOGGED_CELLS collected changes
         self._collected: Counter[ChangeCause] = Counter()
-        self._entered = 0  # nodes
+        self._entered = 0  # number of nodes in the collected changes
         self._left = 0
         self._collected_since = 0.0
 
@@ -46,7 +45,7 @@
                 self._first_changes.append(change)
 
     def is_due(self) -> bool:
-        """Whether changes are collected for FLUSH_INTERVAL."""
+        """Whether changes have been collected for FLUSH_INTERVAL seconds."""
         return self._clock() >= self._collected_since + FLUSH_INTERVAL
 
     def flush(self) -> None:
--- a/stepknot/broker/subset_driver.py
+++ b/stepknot/broker/subset_driver.py
@@ -1,11 +1,11 @@
-"""Runs a broker's subset on its loop: takes watch events of the endpoint list, hands those of the subset to the core.
+"""Runs a broker's subset on its loop: takes watch events of the endpoint list and passes the subset's events on.
 
 Invariants:
-1. Until the loop's first turn a list is processed at once. From then on a turn does work for `MAX_SLICE_SECONDS` (see
-   "Sliced work" in `stepknot/subsets/subset.py`), or hands one event of `MAX_HANDED_ENTRIES` to the core, whose share
-   of the turn grows with them.
-2. Events of the subset are handed on in their order: a node's replacement goes before the node.
-3. A defect of the subset fails no query: the core gets the full list, at once and from then on, and it is logged.
+1. Before the loop's first iteration a list is processed completely. After that, one iteration either works for
+   `MAX_SLICE_SECONDS` (see "Sliced work" in `stepknot/subsets/subset.py`), or passes one event to the core. Such an
+   event has up to `MAX_EVENT_ENTRIES` entries, as the time that the core needs grows with their number.
+2. Events of the subset are passed on in their order: a node's replacement is added before the node is removed.
+3. An error in the subset's code fails no query: it is logged, and the core gets the full list from then on.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from stepknot.broker.subset_change_log import Log, SubsetChangeLog
 from stepknot.broker.subset_report import (
     DisabledSubsetView,
+    SubsetNodeCounts,
     SubsetReport,
-    SubsetSurvey,
     disabled_gauge,
 )
 from stepknot.discovery.drained_endpoints import DrainedEndpoints
@@ -30,21 +30,21 @@
 from stepknot.subsets.model import CellLayout, SubsetSettings
 from stepknot.subsets.subset import Subset
 
-# With the unit of work that ends it, a slice is well under the 5 ms for which queries may wait.
+# A slice may exceed this by its last unit of work, and still ends well within the 5 ms for which queries may wait.
 MAX_SLICE_SECONDS = 0.002
-# Entries in an event for the core, which logs each (some 30 us) and goes through all nodes in use once an event.
-MAX_HANDED_ENTRIES = 32
+# Entries of one event for the core. The core logs each entry (about 30 us), and iterates over all nodes once per event.
+MAX_EVENT_ENTRIES = 32
 
 
 class SubsetDriver:
-    """Takes watch events from `DrainedEndpoints` and hands those of the subset to the core by `on_list`.
+    """Takes watch events from `DrainedEndpoints` and passes the subset's events to the core by `on_list`.
 
     Attributes:
-        fault: Why the full list is used: a defect of the subset. Empty: there is none.
-        outgoing: Events for the core, of MAX_HANDED_ENTRIES at most; one is handed over in a turn.
-        longest_slice: Seconds, the longest for which a turn was occupied so far.
-        slice_timer: For the next slice, while there is work.
-        warm_up_timer: For the time when a node ends its slow start next.
+        fault: The error in the subset's code because of which the full list is used; empty if there was none.
+        outgoing: Events for the core with up to MAX_EVENT_ENTRIES entries; each iteration passes on one of them.
+        longest_slice: The longest time so far, in seconds, for which the subset occupied the loop.
+        slice_timer: Starts the next slice while there is work.
+        warm_up_timer: Fires when the next slow start of a node ends.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
     # --- input
 
     def on_watch_event(self, event: ListReceived) -> None:
-        """Take a watch event of the endpoint list."""
+        """Apply a watch event of the endpoint list."""
         if self.fault or event.kind is ListKind.FAILED:
             self._on_list(self._full_event(event.kind, event.entries))
             return
@@ -92,7 +92,7 @@
         self._start_work()
 
     def _log_own_address(self) -> None:
-        """Log once that the list names this broker as a node: what is sent there would come back here."""
+        """Log once if the list names this broker as a node: queries sent there would come back to this broker."""
         listed = sorted(self.settings.own & self.listed.entries.keys())
         if listed and not self._has_logged_own_address:
             self._has_logged_own_address = True
@@ -101,7 +101,11 @@
     # --- work
 
     def _start_work(self, began: float | None = None) -> None:
-        """Process everything before the first turn, a slice from then on; the turn is occupied since `began`."""
+        """Process everything before the loop's first iteration, and one slice in later iterations.
+
+        Args:
+            began: When the subset started to work in this iteration, by the loop's clock; None for now.
+        """
         if self.fault or self.slice_timer is not None:
             return
         if self._loop.turns > 0:
@@ -112,7 +116,7 @@
             self._on_list(self.outgoing.popleft())
 
     def _process_all(self) -> None:
-        """Do all work and make one event of it, as no query is served yet."""
+        """Do all work and combine the events into one, as no query is served yet."""
         events = self.subset.run_to_end(self._loop.clock())
         if events:
             entries = tuple(entry for event in events for entry in event.entries)
@@ -122,7 +126,7 @@
         self._set_warm_up_timer()
 
     def _run_slice(self, began: float | None = None) -> None:
-        """Do one turn's share of the work, and schedule the next one if there is more."""
+        """Do the work of one slice, and schedule the next slice if there is more work."""
         self.slice_timer = None
         began = self._loop.clock() if began is None else began
         if self.outgoing:
@@ -134,7 +138,7 @@
             self.slice_timer = self._loop.call_later(NEXT_TURN, self._run_slice)
 
     def _advance_subset(self, until: float) -> None:
-        """Do units of work until a time or an event, which is handed over before more is selected."""
+        """Do units of work until the given time or the first event, which is passed on before more is selected."""
         subset, clock = self.subset, self._loop.clock
         has_more = True
         while has_more and clock() < until:
@@ -162,16 +166,16 @@
         if at is not None:
             self.warm_up_timer = self._loop.call_at(at, self._start_work)
 
-    # --- a defect of the subset
+    # --- errors in the subset's code
 
     def _guard(self, work: Callable[[], None]) -> None:
         try:
             work()
-        except Exception as error:  # noqa: BLE001 - whatever it is, queries go on with all nodes
+        except Exception as error:  # noqa: BLE001 - after any error, queries continue with all nodes
             self.fall_back(error)
 
     def fall_back(self, error: Exception) -> None:
-        """Use the full list from now on. It replaces whatever the core has of the list."""
+        """Use the full list from now on. It replaces the list that the core has."""
         self.fault = f"{type(error).__name__}: {error}"
         for timer in (self.slice_timer, self.warm_up_timer):
             if timer is not None:
@@ -183,39 +187,39 @@
         self._on_list(self._full_event(ListKind.FULL, entries))
 
     def _full_event(self, kind: ListKind, entries: Iterable[ServerEntry]) -> ListReceived:
-        """A watch event as without a subset, but for this broker's own addresses.
+        """A watch event with all entries, except those of this broker's own addresses.
 
-        No source of a list sets `sharers`, so that the capacity of a node in slow start is divided by all brokers.
+        No source of a list sets `sharers`, so the capacity of a node in slow start is divided by all brokers.
         """
         own = self.settings.own
         return ListReceived(kind, tuple(entry for entry in entries if entry.server not in own))
 
     # --- operators
 
-    def report(self, with_held: bool) -> Coroutine:
-        """The answer of `/subset`, as a dict; `with_held`: with each node of the subset.
+    def report(self, with_nodes: bool) -> Coroutine:
+        """The answer of `/subset`, as a dict; with each node of the subset if `with_nodes` is set.
 
-        It is a coroutine, because a large list is gone through in slices.
+        It is a coroutine, as a large list is counted in slices.
         """
         began = self._loop.clock()
         if self.fault:
             nodes = len(self.listed.entries)
             return DisabledSubsetView(self.settings.identity, self.fault, nodes).as_answer()
         until = began + MAX_SLICE_SECONDS
-        survey = SubsetSurvey(self.subset, began, with_held)
+        node_counts = SubsetNodeCounts(self.subset, began, with_nodes)
         for cell in list(self.subset.index.cells.values()):
-            survey.add_cell(cell)
+            node_counts.add_cell(cell)
             if self._loop.clock() >= until:
                 yield from self._loop.sleep(NEXT_TURN)
                 until = self._loop.clock() + MAX_SLICE_SECONDS
-        return self._report.view(survey, self.longest_slice).as_answer()
+        return self._report.view(node_counts, self.longest_slice).as_answer()
 
     def explain(self, server: str) -> dict[str, Any] | None:
-        """Why a node is, or is not, in the subset; None: the list does not name it, or the subset is disabled."""
+        """Why a node is, or is not, in the subset; None if the list has no such node or the subset is disabled."""
         return None if self.fault else self._report.explain(server)
 
     def collect(self) -> list[Metric]:
-        """The metrics `stepknot_subset...`."""
+        """The metrics whose names start with `stepknot_subset`."""
         disabled = disabled_gauge(bool(self.fault))
         if self.fault:
             return [disabled]
@@ -223,10 +227,10 @@
 
 
 def split_event(event: ListReceived) -> list[ListReceived]:
-    """The same event in parts of MAX_HANDED_ENTRIES; those after the first are changes."""
+    """Split an event into events of up to MAX_EVENT_ENTRIES entries; all but the first are of kind CHANGES."""
     first, *rest = [
-        event.entries[start : start + MAX_HANDED_ENTRIES]
-        for start in range(0, len(event.entries), MAX_HANDED_ENTRIES)
+        event.entries[start : start + MAX_EVENT_ENTRIES]
+        for start in range(0, len(event.entries), MAX_EVENT_ENTRIES)
     ] or [()]
     changes = [ListReceived(ListKind.CHANGES, entries) for entries in rest]
     return [ListReceived(event.kind, first), *changes]
--- a/stepknot/broker/subset_report.py
+++ b/stepknot/broker/subset_report.py
@@ -1,4 +1,4 @@
-"""What operators see of a subset: the answer of `/subset`, reasons for single nodes, and metrics."""
+"""The subset for operators: the admin answer of `/subset`, the reasons for single nodes, and the metrics."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class ZoneRow:
-    """The nodes of one zone: on the list, and in the subset by state."""
+    """Counts of one zone's nodes: those on the list, and those in the subset by state."""
 
     zone: str
     tier: int
@@ -33,8 +33,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldNode:
-    """A node of the subset; `sharers` is what its capacity is divided by in slow start."""
+class SubsetNode:
+    """A node of the subset. In slow start its capacity is divided by `sharers`."""
 
     server: str
     zone: str
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubsetView:
-    """The answer of `/subset`; the names of the fields are its keys. `held` is left out where it is None."""
+    """The answer of `/subset`; the names of the fields are its keys. The key `held` is omitted if it is None."""
 
     identity: str
     zone: str
@@ -62,10 +62,10 @@
     longest_slice: float
     changes: dict[str, int]
     zones: list[ZoneRow]
-    held: list[HeldNode] | None = None
+    held: list[SubsetNode] | None = None
 
     def as_answer(self) -> dict[str, Any]:
-        """The answer by key, for orjson; rows are not copied."""
+        """The answer as a dict for orjson; rows are not copied."""
         answer = {field.name: getattr(self, field.name) for field in fields(self)}
         if self.held is None:
             del answer["held"]
@@ -74,23 +74,23 @@
 
 @dataclass(frozen=True, slots=True)
 class DisabledSubsetView:
-    """The answer of `/subset` after a defect: why the subset is off, and how many nodes are used instead."""
+    """The answer of `/subset` after an error in the subset's code: the error, and the number of nodes in use."""
 
     identity: str
     off: str
     nodes: int
 
     def as_answer(self) -> dict[str, Any]:
-        """The answer by key."""
+        """The answer as a dict."""
         return asdict(self)
 
 
-class SubsetSurvey:
-    """Counts of one answer, taken cell by cell so that a large list can be gone through in slices."""
+class SubsetNodeCounts:
+    """Counts the nodes for one answer, cell by cell, so that a large list can be counted in slices."""
 
-    def __init__(self, subset: Subset, now: float, with_held: bool) -> None:
+    def __init__(self, subset: Subset, now: float, with_nodes: bool) -> None:
         self.rows: dict[str, ZoneRow] = {}
-        self.held: list[HeldNode] | None = [] if with_held else None
+        self.nodes: list[SubsetNode] | None = [] if with_nodes else None
         self._subset = subset
         self._now = now
 
@@ -112,9 +112,9 @@
             row.cold += 1
         else:
             row.draining += 1
-        if self.held is not None:
+        if self.nodes is not None:
             sharers = round(entry.sharers, 3)
-            self.held.append(HeldNode(entry.server, entry.zone, entry.cell, state, sharers))
+            self.nodes.append(SubsetNode(entry.server, entry.zone, entry.cell, state, sharers))
 
     def _row(self, zone: str) -> ZoneRow:
         row = self.rows.get(zone)
@@ -124,15 +124,15 @@
 
 
 class SubsetReport:
-    """Views and metrics of one subset; the times of slices come from the driver."""
+    """Views and metrics of one subset. The driver supplies the longest slice."""
 
     def __init__(self, loop: Loop, subset: Subset, change_log: SubsetChangeLog) -> None:
         self._loop = loop
         self._subset = subset
         self._change_log = change_log
 
-    def view(self, survey: SubsetSurvey, longest_slice: float) -> SubsetView:
-        """The answer of `/subset` from counts that are complete."""
+    def view(self, node_counts: SubsetNodeCounts, longest_slice: float) -> SubsetView:
+        """The answer of `/subset`, made from the counts of all cells."""
         subset, settings, quotas = self._subset, self._subset.settings, self._quotas()
         return SubsetView(
             identity=settings.identity,
@@ -149,17 +149,17 @@
             left_out=subset.left_out,
             longest_slice=round(longest_slice, 6),
             changes={cause.value: self._change_log.total[cause] for cause in ChangeCause},
-            zones=sorted(survey.rows.values(), key=lambda row: (row.tier, row.zone)),
-            held=survey.held,
+            zones=sorted(node_counts.rows.values(), key=lambda row: (row.tier, row.zone)),
+            held=node_counts.nodes,
         )
 
     def explain(self, server: str) -> dict[str, Any] | None:
-        """Why a node is, or is not, in the subset; None: the list does not name it."""
+        """Why a node is, or is not, in the subset; None if the list has no such node."""
         reason = explain(self._subset, server, self._loop.clock())
         return asdict(reason) if reason is not None else None
 
     def metrics(self, longest_slice: float) -> list[Metric]:
-        """All metrics but `stepknot_subset_off`."""
+        """All metrics of the subset except `stepknot_subset_off`."""
         subset, now, quotas = self._subset, self._loop.clock(), self._quotas()
         live = sum(cell.live for cell in subset.index.cells.values())
         return [
@@ -202,12 +202,12 @@
         return metric
 
     def _quotas(self) -> list[int]:
-        """Of cells with nodes."""
+        """The quotas of the cells that have nodes."""
         return [cell.quota for cell in self._subset.index.cells.values() if cell.ranked]
 
 
 def state_of(subset: Subset, entry: ServerEntry, now: float) -> str:
-    """The state of a node of the subset, as admin answers and metrics name it."""
+    """The state of a node of the subset as named in admin answers and metrics."""
     if entry.state is ServerState.DRAINING:
         return "draining"
     return "cold" if subset.selector.is_warming_up(entry, now) else "warm"
--- a/stepknot/broker/voter_store.py
+++ b/stepknot/broker/voter_store.py
@@ -1,12 +1,12 @@
 """A voter's state on disk: one file, replaced atomically with each save.
 
-Each save writes the complete state to a new file and renames it over the old one. Whenever the process or the machine
-fails, the file is the state before or after the save. A file with a wrong checksum was damaged later, and what the
-voter promised is unknown: it is moved aside, and the voter recovers. An older state is never used, since a promise may
-be missing there.
+Each save writes the complete state to a new file and renames it over the old one. If the process or the machine fails
+at any moment, the file holds the state before or after the save. A file with a wrong checksum was damaged later, so
+the voter's promises are unknown: the file is moved aside, and the voter recovers. An older state is never used, as it
+may lack a promise.
 
-Bounds: `MAX_JOBS` records of `MAX_VALUE_BYTES`. One save is in progress at a time; of those that wait, only the newest
-is written.
+Bounds: a state has at most `MAX_JOBS` records of `MAX_VALUE_BYTES`. One save is in progress at a time; of the saves
+that wait, only the newest is written.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 MAGIC, FORMAT_VERSION = b"stepknot voter ", b"1\n"
 DIGEST_BYTES = 16
-MAX_FILE_BYTES = 1024 * 1024  # that are read; a longer file is not a voter's state
+MAX_FILE_BYTES = 1024 * 1024  # a longer file is not a voter's state
 FIRST_INCARNATION = 1
 WRITER_STOP_TIMEOUT = 5.0  # seconds
 _decoder = msgspec.msgpack.Decoder(VoterState)
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedState:
-    """What was read: the state, or none and why it is lost."""
+    """The state that was read, or None and why the state is lost."""
 
     state: VoterState | None
     loss_reason: str = ""
@@ -48,7 +48,7 @@
 
 
 def checksum(version: bytes, body: bytes) -> bytes:
-    """Over the format version and the body."""
+    """The checksum of the format version and the body."""
     return blake2b(version + body, digest_size=DIGEST_BYTES).digest()
 
 
@@ -56,18 +56,18 @@
     """Decode a file's content.
 
     Raises:
-        DamagedVoterStateError: It is not what was written.
-        VoterStateMismatchError: Another format version wrote it.
+        DamagedVoterStateError: The content is damaged.
+        VoterStateMismatchError: The content has another format version.
     """
     head_bytes = len(MAGIC) + len(FORMAT_VERSION)
     if not data.startswith(MAGIC) or len(data) < head_bytes + DIGEST_BYTES:
-        raise DamagedVoterStateError(f"{len(data)} bytes that do not begin as a voter's state does")
+        raise DamagedVoterStateError(f"{len(data)} bytes without the header of a voter state file")
     version, body = data[len(MAGIC) : head_bytes], data[head_bytes + DIGEST_BYTES :]
     if checksum(version, body) != data[head_bytes : head_bytes + DIGEST_BYTES]:
-        raise DamagedVoterStateError("its checksum is wrong")
+        raise DamagedVoterStateError("the checksum of the state file is wrong")
     if version != FORMAT_VERSION:
         raise VoterStateMismatchError(
-            f"written by another version, {version!r}; this one reads {FORMAT_VERSION!r}"
+            f"the state file has format version {version!r}; expected {FORMAT_VERSION!r}"
         )
     try:
         return _decoder.decode(body)
@@ -79,7 +79,7 @@
     """The file of one voter, in a folder of its own."""
 
     def __init__(self, folder: Path, fleet: str, voter: str) -> None:
-        """The file has to be of this fleet and this voter."""
+        """The store accepts only a file of this fleet and this voter."""
         self.folder = folder
         self.fleet = fleet
         self.voter = voter
@@ -90,14 +90,14 @@
         """Read the state. A damaged file is moved aside.
 
         Raises:
-            VoterStateMismatchError: The state is another fleet's, another voter's or another version's.
+            VoterStateMismatchError: The state belongs to another fleet or voter, or has another format version.
             OSError: The file cannot be read.
         """
         try:
             with self.path.open("rb") as file:
                 data = file.read(MAX_FILE_BYTES + 1)
         except FileNotFoundError:
-            return LoadedState(None, "there is no state")
+            return LoadedState(None, "the state file does not exist")
         try:
             state = decode_state(data)
         except DamagedVoterStateError as error:
@@ -114,12 +114,12 @@
         """Write the first state of a voter that has never voted.
 
         Raises:
-            FileExistsError: There is a state, or a damaged one: a new state would forget what it promised.
+            FileExistsError: There is a state or a damaged state, whose promises a new state would lose.
             OSError: The state cannot be written.
         """
         for path in (self.path, self.damaged_path):
             if path.exists():
-                raise FileExistsError(f"{path} is there")
+                raise FileExistsError(f"{path} already exists")
         self.folder.mkdir(parents=True, exist_ok=True)
         self.save(encode_state(VoterState(self.fleet, self.voter, FIRST_INCARNATION, {}, [])))
 
@@ -127,7 +127,7 @@
         """Replace the file; returns once the data is on disk.
 
         Raises:
-            OSError: It cannot be written; the file is the one before.
+            OSError: The data cannot be written; the previous file is unchanged.
         """
         replace_file(self.path, self.path.with_suffix(".new"), data)
         folder = os.open(self.folder, os.O_RDONLY)
@@ -138,10 +138,10 @@
 
 
 class VoterStateWriter:
-    """Saves on a thread of its own, so that a slow disk delays no query."""
+    """Saves the state on a separate thread, so that a slow disk delays no query."""
 
     def __init__(self, store: VoterStore, on_saved: Callable[[int, str], None]) -> None:
-        """`on_saved` gets the save's number and the error, empty if there was none, on the writer's thread."""
+        """Start the thread, which calls `on_saved` with each save's number and error (empty if it succeeded)."""
         self._store = store
         self._on_saved = on_saved
         self._next_save: tuple[int, bytes] | None = None  # number, data
@@ -151,13 +151,13 @@
         self._thread.start()
 
     def save(self, number: int, data: bytes) -> None:
-        """Write this next; it replaces a save that still waits."""
+        """Queue a save; it replaces a save that still waits."""
         with self._changed:
             self._next_save = number, data
             self._changed.notify()
 
     def close(self) -> None:
-        """Write what waits, and end the thread."""
+        """Write the save that waits, if any, and end the thread."""
         with self._changed:
             self._is_stopping = True
             self._changed.notify()
--- a/tests/leases/test_processes.py
+++ b/tests/leases/test_processes.py
@@ -161,7 +161,7 @@
             settings = str(fleet.folder / f"broker-{broker.number}.hcl")
             first, again = run("found", settings), run("found", settings)
             assert first.returncode == 0, first.stderr
-            assert again.returncode == 2 and "is there" in again.stderr
+            assert again.returncode == 2 and "already exists" in again.stderr
         fleet.start(lambda text: None)
         yield LeaseBrokers(fleet, links)
     finally:
@@ -339,7 +339,9 @@
     brokers.start("b1")
     (lost,) = brokers.logged("b1", b'"voter_state_lost"')
     assert lost["reason"] == (
-        "there is no state" if trouble == "empty" else "its checksum is wrong"
+        "the state file does not exist"
+        if trouble == "empty"
+        else "the checksum of the state file is wrong"
     )
     brokers.until(lambda: bool(brokers.leases_view("b1")["voter"]["votes"]))
     assert brokers.leases_view("b1")["voter"]["life"] == life + 1
--- a/tests/leases/test_voter_store.py
+++ b/tests/leases/test_voter_store.py
@@ -74,7 +74,7 @@
     store = VoterStore(tmp_path, "stepknot", "A")
     body = encode_state(SAVED)[len(MAGIC) + 2 + 16 :]
     store.path.write_bytes(MAGIC + b"2\n" + checksum(b"2\n", body) + body)
-    with pytest.raises(VoterStateMismatchError, match="another version"):
+    with pytest.raises(VoterStateMismatchError, match="the state file has format version"):
         store.load()
     assert store.path.exists()
 
--- a/tests/platform/test_nodes.py
+++ b/tests/platform/test_nodes.py
@@ -366,7 +366,7 @@
             sockets = sum(len(conn.in_flight) for conn in service.nodes.pool.connections())
             if not module == sockets == len(service.core.attempts):
                 if (
-                    not service.core.inbox
+                    not service.core.pending_events
                 ):  # else the module hears of it in this very turn's successor
                     wrong.append((module, sockets))
 
@@ -392,7 +392,7 @@
                 found.discovery.change(found.row(place, id=f"s-{place}.{number}"))
             client.sock.sendall(found.request("list", (number % 2,)))
             assert client.read().status == 200
-        until(lambda: not service.core.inbox and not service.core.attempts.expiries)
+        until(lambda: not service.core.pending_events and not service.core.attempts.expiries)
         core, module = service.core, service.core.aggregator
         tables = found.call(
             lambda: [
--- a/tests/subsets/test_driver.py
+++ b/tests/subsets/test_driver.py
@@ -16,7 +16,7 @@
 import pytest
 
 from stepknot.broker.subset_change_log import MAX_LOGGED_CELLS
-from stepknot.broker.subset_driver import MAX_HANDED_ENTRIES, MAX_SLICE_SECONDS, SubsetDriver
+from stepknot.broker.subset_driver import MAX_EVENT_ENTRIES, MAX_SLICE_SECONDS, SubsetDriver
 from stepknot.cli.serve import make
 from stepknot.config.settings import load
 from stepknot.discovery.drained_endpoints import DrainedEndpoints
@@ -171,7 +171,7 @@
     assert set(world.core()) < {entry.server for entry in other()} and len(world.core()) == 40 * 3
     assert world.loop.lag_most < TURN and world.own.longest_slice < TURN
     assert world.loop.turns - since > 10 and fired[0] - since < 5
-    assert max(len(event.entries) for event in world.taken[1:]) <= MAX_HANDED_ENTRIES
+    assert max(len(event.entries) for event in world.taken[1:]) <= MAX_EVENT_ENTRIES
     assert len(set(world.turns)) == len(world.turns), "two events in one turn"
 
 
@@ -500,7 +500,7 @@
     service.loop.again = True
     service.loop.turn()
     service.set_instance_count(1)
-    assert InstancesCounted(1) in service.core.inbox
+    assert InstancesCounted(1) in service.core.pending_events
     while service.subsets is not None and service.subsets.slice_timer is not None:
         service.loop.turn()
     assert len(service.core.servers) == 40 and b"stepknot_subset_held" in service.metrics()
