--- a/stepknot/broker/__init__.py
+++ b/stepknot/broker/__init__.py
@@ -1,1 +1,1 @@
-"""The broker's core: a query's life. It feeds the decision module and carries out what that decides."""
+"""A broker: runs clients' queries by the decision module, and composes all subsystems of the process."""
--- a/stepknot/broker/admin/__init__.py
+++ b/stepknot/broker/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The admin socket of a broker: what it decides, as JSON, and operators' commands."""
+"""The admin socket of a broker: JSON views of its subsystems, and operators' commands."""
--- a/stepknot/broker/admin/admission_commands.py
+++ b/stepknot/broker/admin/admission_commands.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListChange:
-    """What a command does: to which list, and whether it adds or removes."""
+    """The list that a command changes, and whether it adds or removes a network."""
 
     access_list: AccessList
     adds: bool
@@ -35,12 +35,14 @@
 
 
 class AdmissionCommands:
-    """Bans and allows networks, or takes them off: `POST /admission/ban?network=10.0.0.0/8&seconds=600`.
+    """Adds networks to the banned or allowed ones, or removes them.
+
+    Example: `POST /admission/ban?network=10.0.0.0/8&seconds=600`.
 
     Args:
-        lists: The lists in force.
-        file: Where they are kept over a restart.
-        log: Takes the event of each change.
+        lists: The lists that admission uses.
+        file: The file that keeps the lists over a restart.
+        log: Writes the log event of each change.
     """
 
     def __init__(
@@ -49,11 +51,13 @@
         self.lists, self.file, self.log = lists, file, log
 
     def handle(self, request: Request) -> Response:
-        """Carry out one command, durably before it is answered."""
+        """Carry out one command. The change is on disk before the command is answered."""
         change = CHANGES.get(request.path)
         if change is None or request.method != "POST":
             status = HTTPStatus.METHOD_NOT_ALLOWED if change else HTTPStatus.NOT_FOUND
-            return json_response(status, UnknownPathAnswer("POST to one of these", [*CHANGES]))
+            return json_response(
+                status, UnknownPathAnswer("expected POST to one of these paths", [*CHANGES])
+            )
         network = request.query.get("network", "")
         try:
             seconds = float(request.query.get("seconds", "inf"))
@@ -72,7 +76,7 @@
 
     def _apply(self, change: ListChange, network: str, seconds: float) -> None:
         if not seconds > 0:
-            raise ValueError("seconds must be over 0")
+            raise ValueError(f"seconds must be greater than 0, got {seconds}")
         if change.adds:
             self.lists.add(change.access_list, network, time.time() + seconds)
         elif not self.lists.remove(change.access_list, network):
--- a/stepknot/broker/admin/routes.py
+++ b/stepknot/broker/admin/routes.py
@@ -1,4 +1,4 @@
-"""The admin socket's paths, and what each answers."""
+"""The paths of the admin socket and their answers."""
 
 from __future__ import annotations
 
@@ -26,29 +26,29 @@
 
 
 class Viewed(Protocol):
-    """A subsystem that can be shown as JSON."""
+    """A subsystem with a view that can be encoded as JSON."""
 
     def view(self) -> Any:
-        """All that operators may see of it."""
+        """The subsystem's state for operators."""
 
 
 class ViewedSubsets(Protocol):
-    """The subset driver, as far as it is shown."""
+    """The part of the subset driver that the admin socket uses."""
 
     fault: str
 
-    def report(self, with_held: bool) -> Coroutine:
-        """All that operators may see of the subset, with the nodes in use if asked for."""
+    def report(self, with_nodes: bool) -> Coroutine:
+        """The subset's state for operators, with each node of the subset if `with_nodes` is set."""
 
     def explain(self, server: str) -> dict[str, Any] | None:
-        """Why this node is, or is not, in use; None where the list does not name it."""
+        """Why this node is, or is not, in the subset; None if the list has no such node or the subset is disabled."""
 
 
 class AdminRoutes:
-    """Answers requests on the admin socket. Each subsystem that is configured adds its paths.
+    """Answers requests on the admin socket. Each configured subsystem adds its paths.
 
     Args:
-        name: The broker's, which each view carries.
+        name: The broker's name, which each view contains.
     """
 
     def __init__(self, name: str) -> None:
@@ -59,7 +59,7 @@
     # --- paths
 
     def add_view(self, path: str, subsystem: Viewed) -> None:
-        """Show a subsystem at this path."""
+        """Answer requests for this path with a subsystem's view."""
 
         def show(_request: Request) -> Coroutine:
             yield from ()
@@ -70,11 +70,11 @@
         self.routes[path] = show
 
     def add_command(self, path: str, route: Route) -> None:
-        """Answer requests for this path by a subsystem's command."""
+        """Answer requests for this path with a subsystem's command."""
         self.routes[path] = route
 
     def add_zones(self, zones: ZoneFailover, core: Core) -> None:
-        """Show the zones at `/zones`."""
+        """Answer requests for `/zones` with the states of all zones."""
 
         def show(_request: Request) -> Coroutine:
             yield from ()
@@ -83,19 +83,22 @@
         self.routes["/zones"] = show
 
     def add_subsets(self, subsets: ViewedSubsets) -> None:
-        """Show the subset at `/subset`: `?held=1` with the nodes in use; `?why=NODE` why this one is in use or not."""
+        """Answer requests for `/subset` with the subset's state.
+
+        `?held=1` adds the nodes in use; `?why=NODE` adds why this node is, or is not, in use.
+        """
 
         def show(request: Request) -> Coroutine:
-            survey = yield from subsets.report("held" in request.query)
-            found = {"broker": self.name, **survey}
+            report = yield from subsets.report("held" in request.query)
+            answer = {"broker": self.name, **report}
             if "why" in request.query:
                 server = request.query["why"]
                 reason = subsets.explain(server)
                 if reason is None and not subsets.fault:
                     error = ErrorAnswer(f"the list has no node {server}")
                     return json_response(HTTPStatus.NOT_FOUND, error)
-                found["why"] = reason
-            return json_response(HTTPStatus.OK, found)
+                answer["why"] = reason
+            return json_response(HTTPStatus.OK, answer)
 
         self.routes["/subset"] = show
 
@@ -109,12 +112,12 @@
             return (yield from route(request))
         if request.path.startswith("/admission/") and self.admission is not None:
             return self.admission.handle(request)
-        answer = UnknownPathAnswer(f"nothing at {request.path}", PATHS)
+        answer = UnknownPathAnswer(f"unknown path {request.path}", PATHS)
         return json_response(HTTPStatus.NOT_FOUND, answer)
 
 
 def zones_answer(name: str, zones: ZoneFailover, core: Core) -> ZonesAnswer:
-    """The zones as they are now."""
+    """The present states of all zones."""
     return ZonesAnswer(
         broker=name,
         own=zones.settings.own,
--- a/stepknot/broker/admin/views.py
+++ b/stepknot/broker/admin/views.py
@@ -1,4 +1,4 @@
-"""Answers of the admin socket as typed views. Field names and their order are the JSON's and must not change."""
+"""Answers of the admin socket as typed views. The names and the order of the fields are the JSON's: don't change them."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ZonesAnswer:
-    """All zones of one broker."""
+    """All zones as one broker sees them."""
 
     broker: str
-    own: str  # where the broker stands
+    own: str  # the broker's own zone
     spill: float
-    disturbed: bool
-    shed: int  # queries
+    disturbed: bool  # whether a zone is not healthy
+    shed: int  # queries that were refused because the zones lacked capacity
     zones: list[ZoneView]
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionListsAnswer:
-    """Banned and allowed networks after a change, each with the time until which it holds."""
+    """The banned and allowed networks after a change, each with its expiry time."""
 
     banned: dict[str, Any]
     allowed: dict[str, Any]
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderAccepted:
-    """An order is in the ledger under this number."""
+    """An order was accepted and is in the ledger under this number."""
 
     taken: bool
     number: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderRejected:
-    """An order is not in the ledger, and why."""
+    """Why an order was rejected and is not in the ledger."""
 
     error: str
     number: str
@@ -51,14 +51,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseYielded:
-    """The lease of a job was given up."""
+    """This broker gave up the lease of a job."""
 
     yielded: bool
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseNotHeld:
-    """The job's lease is not held here; who holds it, as far as known."""
+    """This broker does not hold the job's lease; `owner` is the last known holder."""
 
     error: str
     owner: str
@@ -66,19 +66,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorAnswer:
-    """What was wrong with a request."""
+    """Why a request failed."""
 
     error: str
 
 
 @dataclass(frozen=True, slots=True)
 class UnknownPathAnswer:
-    """What was wrong with a request's path or method, and the paths there are."""
+    """Why a request's path or method is not valid, and the known paths."""
 
     error: str
     known: list[str]
 
 
 def json_response(status: HTTPStatus, view: Any) -> Response:
-    """A response with this view as JSON."""
+    """A response whose body is the view as JSON."""
     return Response(int(status), orjson.dumps(msgspec.to_builtins(view)))
--- a/stepknot/broker/admission_gate.py
+++ b/stepknot/broker/admission_gate.py
@@ -1,8 +1,8 @@
-"""Carries the decisions of admission control out on the sockets of all frontends.
+"""Carries out the decisions of admission control on the sockets of all frontends.
 
-A connection over a limit waits for its first request (`waiting_connection`): it is answered in its frontend's own
-protocol then, or served if it shows an API key. One that sends nothing in time is closed without an answer, and
-counted.
+A connection over a limit waits for its first request (`waiting_connection`). The request is then rejected in its
+frontend's protocol, or served if it has an API key. A connection that sends no request in time is closed without an
+answer, and counted.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 from stepknot.net.loop import Loop
 from stepknot.net.server import Server
 
-SWEEP_INTERVAL = 0.1  # seconds between looks at the waiting connections
+SWEEP_INTERVAL = 0.1  # seconds between two checks of the waiting connections
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
 
     number: int
     verdict: Verdict
-    data: bytes  # what it sent so far, where that was read
+    data: bytes  # bytes that were already read from it
 
 
 class AdmissionGate:
@@ -50,11 +50,11 @@
 
     Args:
         loop: The broker's loop.
-        admission: Decides.
-        descriptors: How the descriptor limit is allocated, for operators.
-        log: Takes log events.
-        tenant_quotas: Fraction of the query slots that each tenant may have.
-        wall_clock: The time by which bans expire.
+        admission: Decides about connections and requests.
+        descriptors: The allocation of the descriptor limit, shown to operators.
+        log: Writes a log event, given its name and fields.
+        tenant_quotas: The fraction of the query slots that each tenant may use.
+        wall_clock: The clock by which bans and allowances expire.
     """
 
     def __init__(
@@ -69,14 +69,14 @@
         self.loop = loop
         self.admission = admission
         self.settings = admission.settings
-        self.accepted = 0  # connections so far; the last one's number
+        self.accepted = 0  # connections accepted so far, which is also the number of the last one
         self._descriptors = descriptors
         self._log = log
         self._wall_clock = wall_clock
         self._peers = PeerAddresses(self.settings.trusted)
-        self._arrival = Arrival(0, Verdict(Placement.REJECTED), b"")  # the last one
+        self._arrival = Arrival(0, Verdict(Placement.REJECTED), b"")  # the last accepted connection
         self._admitted: dict[int, Connection] = {}
-        self._waiting: dict[int, WaitingConnection] = {}  # the oldest first
+        self._waiting: dict[int, WaitingConnection] = {}  # oldest first
         self._frontends: dict[Server, Frontend] = {}
         self._silent: Counter[SilentClose] = Counter()
         self._rejections = Rejections(loop, log)
@@ -86,7 +86,7 @@
         loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     def attach(self, server: Server, reject: Reject, classify: Classify) -> None:
-        """Take every connection and request of this server from now on."""
+        """Apply admission to all connections and requests of a server from now on."""
         frontend = self._frontends[server] = Frontend(reject, classify)
         server.gate = self
         handler = server.handler
@@ -100,13 +100,17 @@
     # --- connections that arrive
 
     def _screen(self, server: Server, sock: socket.socket, peer: Peer) -> bool:
-        """Judge an accepted socket; returns whether it is done with.
+        """Decide about an accepted socket.
 
-        A connection to be rejected whose request is here already needs no more than a read, a write and a close.
+        A connection over a limit whose request has already arrived is rejected here, with one read, one write and one
+        close.
+
+        Returns:
+            Whether the socket was rejected and closed.
         """
         self.accepted += 1
         number, address = self.accepted, self._peers.address(peer)
-        if address in self._peers.trusted:  # its clients are judged once it says who they are
+        if address in self._peers.trusted:  # its clients are decided on once it sends their addresses
             verdict = self.admission.on_proxy_connection(self.loop.now, number, address)
         else:
             verdict = self.admission.on_connection(self.loop.now, number, address)
@@ -130,7 +134,7 @@
     def _reject_screened(
         self, server: Server, sock: socket.socket, verdict: Verdict, data: bytes
     ) -> None:
-        """Answer the request in `data`, if there is one, and close the socket."""
+        """Reject the request in `data`, if there is one, and close the socket."""
         if data:
             answer = self.encode_rejection(server, verdict)
             try:
@@ -142,7 +146,7 @@
         sock.close()
 
     def on_accept(self, server: Server, link: Link, peer: Peer) -> None:
-        """The connection that was screened last goes on as more than a socket."""
+        """Admit the connection that was screened last, let it wait, or reject it."""
         arrival = self._arrival
         verdict = arrival.verdict
         self._close_evicted(verdict)
@@ -163,37 +167,37 @@
         server.connections.add(connection)
 
     def _on_exhausted(self, server: Server, sock: socket.socket, peer: Peer) -> None:
-        """Descriptors ran out in spite of the budgets: answer a connection that got the spare one."""
+        """Reject a connection that got the spare descriptor, as descriptors ran out despite the budgets."""
         address = self._peers.address(peer)
         verdict = self.admission.on_descriptors_exhausted(self.loop.now, address)
         self._reject_at_once(server, sock, verdict)
 
     def _reject_at_once(self, server: Server, sock: socket.socket, verdict: Verdict) -> None:
-        """Answer a connection without a place in the queue, if its request is here already."""
+        """Reject a connection for which the waiting queue has no place; it is answered if its request has arrived."""
         answer = self.encode_rejection(server, verdict)
         if not _answer_if_asked(sock, answer):
             self._silent[SilentClose.NO_REQUEST] += 1
 
     def encode_rejection(self, server: Server, verdict: Verdict) -> bytes:
-        """The bytes of the final answer to a rejected connection."""
+        """The bytes of the last answer on a rejected connection."""
         return self._rejections.encode(server, self._frontends[server], verdict)
 
     # --- waiting connections
 
     def on_first_request(self, number: int, head: bytes) -> Verdict:
-        """Judge a waiting connection by the head of its first request."""
+        """Decide about a waiting connection by the head of its first request."""
         api_key = self._queries.api_keys.find_name(head) if AUTHORIZATION.search(head) else ""
         verdict = self.admission.on_first_request(self.loop.now, number, api_key)
         self._close_evicted(verdict)
         return verdict
 
     def admit_waiting(self, waiting: WaitingConnection, data: bytes) -> None:
-        """Serve a waiting connection from its first request on."""
+        """Serve a waiting connection, starting with its first request, whose bytes so far are `data`."""
         self._waiting.pop(waiting.number, None)
         self._admit(waiting.server, waiting.link, waiting.peer, waiting.number, data)
 
     def on_waiting_closed(self, waiting: WaitingConnection, silent: SilentClose | None) -> None:
-        """A waiting connection was closed; `silent` says why without an answer."""
+        """Remove a waiting connection that was closed; `silent` is the reason if it got no answer."""
         if silent is not None:
             self._silent[silent] += 1
         self._waiting.pop(waiting.number, None)
@@ -212,7 +216,7 @@
         self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     def _close_evicted(self, verdict: Verdict) -> None:
-        """Close the connections that a verdict evicted; their state in the controller is dropped already."""
+        """Close the connections that a verdict evicted; the controller has already removed their state."""
         for number in verdict.evicted:
             connection = self._admitted.pop(number, None)
             if connection is not None:
@@ -226,7 +230,7 @@
     # --- events of admitted connections, from the server
 
     def on_close(self, number: int) -> None:
-        """An admitted connection has ended."""
+        """Remove an admitted connection that has ended."""
         self._admitted.pop(number, None)
         self.admission.on_connection_closed(number)
 
@@ -238,7 +242,7 @@
         )
 
     def on_proxy_header(self, connection: Connection, address: Address | None) -> Response | None:
-        """The PROXY header is here; returns the rejection where its client is not admitted."""
+        """Decide about a proxied client by its PROXY header; returns the rejection if the client is not admitted."""
         if address is None:
             return None
         verdict = self.admission.on_proxied_address(self.loop.now, connection.number, address)
@@ -248,55 +252,59 @@
         return self._rejections.respond(self._frontends[connection.server], verdict)
 
     def on_protocol_error(self, connection: Connection) -> None:
-        """A request was malformed or too slow."""
+        """Lower the reputation of a client whose request was malformed or too slow."""
         tracked = self.admission.connections.get(connection.number)
         if tracked is not None:
             self.admission.reputation.penalize(self.loop.now, tracked.address)
 
     def reserve_bytes(self, connection: Connection, size: int) -> bool:
-        """Whether bytes of a request may be kept; if not, the sender has to wait or is rejected."""
+        """Reserve memory for bytes of a request; returns False if the sender must wait or be rejected."""
         number = connection.number
         if number not in self.admission.connections:
             return True
         return self.admission.reserve_bytes(number, size)
 
     def release_bytes(self, connection: Connection, keep: int) -> None:
-        """A request was answered; `keep` bytes are of the next one, which has begun to arrive."""
+        """Release the memory of an answered request, except `keep` bytes of the next request that already arrived."""
         self.admission.release_bytes(connection.number, keep)
 
     def on_request_bytes(self, connection: Connection) -> None:
-        """Bytes of a request have arrived."""
+        """Note that bytes of a request have arrived."""
         self.admission.on_request_bytes(connection.number)
 
     def on_idle(self, connection: Connection) -> None:
-        """The connection is between two requests."""
+        """Note that the connection is idle between two requests."""
         self.admission.release_bytes(connection.number, 0)
         self.admission.on_idle(connection.number)
 
     def idle_timeout(self, base: float) -> float:
-        """Keep-alive seconds of an idle connection, where nothing is scarce `base`."""
+        """Seconds for which an idle connection is kept open: `base` unless connection slots are scarce."""
         return self.admission.slots.idle_timeout(base)
 
     # --- operators
 
     def silent_closes(self) -> dict[str, int]:
-        """Connections closed without an answer, by why."""
+        """The number of connections that were closed without an answer, by reason."""
         return {reason.value: count for reason, count in self._silent.items()}
 
     def view(self) -> AdmissionView:
-        """Limits and their use, decisions, and who has most."""
+        """The limits and their use, the decisions, and the addresses with the highest counts."""
         return make_view(self.loop.now, self.admission, self._descriptors, self.silent_closes())
 
 
 def _can_reject_at_once(data: bytes) -> bool:
-    """Whether a complete request is there that shows no API key."""
+    """Whether the data has a complete request without an API key."""
     head, found, body = data.partition(b"\r\n\r\n")
     has_key = AUTHORIZATION.search(head) is not None
     return bool(found) and not has_key and content_length(head) <= len(body)
 
 
 def _answer_if_asked(sock: socket.socket, answer: bytes) -> bool:
-    """Send the answer if a request is there, and read off what else is; returns whether it was sent."""
+    """Send the answer if a request has arrived, and read the rest of the input.
+
+    Returns:
+        Whether the answer was sent.
+    """
     try:
         if not sock.recv(READ_SIZE):
             return False
--- a/stepknot/broker/admission_list_file.py
+++ b/stepknot/broker/admission_list_file.py
@@ -1,4 +1,4 @@
-"""Banned and allowed networks on disk, kept over a restart."""
+"""Keeps the banned and allowed networks on disk, so that they survive a restart."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class AdmissionListFile:
-    """The snapshot of the lists.
+    """The file with the snapshot of the lists.
 
     Args:
-        path: The file; "" keeps nothing.
-        log: Takes the event of a snapshot that cannot be read.
+        path: The path of the file; "" for no file: the lists are then lost at a restart.
+        log: Writes the log event of a snapshot that cannot be read.
     """
 
     def __init__(self, path: str, log: Callable[..., None]) -> None:
         self.path, self.log = path, log
 
     def load(self) -> AccessLists:
-        """The lists as last saved. A damaged snapshot is logged and moved aside, and the lists are empty."""
+        """Load the lists. If the snapshot is damaged, it is logged and moved aside, and the lists are empty."""
         if not self.path:
             return AccessLists()
         try:
@@ -37,7 +37,7 @@
             return AccessLists()
 
     def save(self, lists: AccessLists) -> None:
-        """Replace the snapshot: a broker that dies meanwhile leaves the one before.
+        """Replace the snapshot atomically: if the broker dies while it saves, the previous snapshot remains.
 
         Raises:
             OSError: The file cannot be written.
--- a/stepknot/broker/admission_rejections.py
+++ b/stepknot/broker/admission_rejections.py
@@ -1,4 +1,4 @@
-"""Rejections by admission as bytes of a final answer and as sampled log events."""
+"""Answers and sampled log events for connections and requests that admission rejects."""
 
 from __future__ import annotations
 
@@ -12,33 +12,31 @@
 from stepknot.net.server import Server
 
 MAX_CACHED_ANSWERS = 1000
-MAX_EVENTS_PER_SECOND = 5  # log events of a reason; the rest is counted
+MAX_EVENTS_PER_SECOND = 5  # log events per second and reason; further rejections are only counted
 
-Reject = Callable[
-    [str, float], Response
-]  # the reason and Retry-After seconds: the frontend's answer
-Classify = Callable[
-    [Request], tuple[int, str]
-]  # how many classes have a higher priority; the tenant
+# Makes a frontend's answer from the reason and the seconds for Retry-After.
+Reject = Callable[[str, float], Response]
+# Returns a request's priority level (the number of different higher priority weights) and its tenant.
+Classify = Callable[[Request], tuple[int, str]]
 
 
 @dataclass(frozen=True, slots=True)
 class Frontend:
-    """What admission needs of a server's frontend."""
+    """The functions of a server's frontend that admission uses."""
 
     reject: Reject
     classify: Classify
 
 
 class RejectionAnswers:
-    """Encodes the answers that reject a connection, in the protocol of its frontend; the bytes are cached."""
+    """Encodes the answers that reject a connection in its frontend's protocol, and caches their bytes."""
 
     def __init__(self) -> None:
         self._cached: dict[tuple[Server, RejectReason | None, int], bytes] = {}
 
     def encode(self, server: Server, frontend: Frontend, verdict: Verdict) -> bytes:
-        """The bytes of an answer that closes the connection."""
-        retry_after = int(verdict.retry_after + 0.999)  # rounded up
+        """The bytes of an answer after which the connection is closed."""
+        retry_after = int(verdict.retry_after + 0.999)  # rounds up
         key = (server, verdict.reason, retry_after)
         answer = self._cached.get(key)
         if answer is None:
@@ -50,16 +48,16 @@
 
 
 class RejectionLog:
-    """Logs rejections, sampled by reason: a flood of rejections does not become a flood of lines."""
+    """Logs rejections, limited by reason and second, so that a flood of rejections does not flood the log."""
 
     def __init__(self, loop: Loop, log: Callable[..., None]) -> None:
         self._loop = loop
         self._log = log
         self._second = 0
-        self._counts: Counter[str] = Counter()  # of this second
+        self._counts: Counter[str] = Counter()  # rejections in this second, by reason
 
     def record(self, verdict: Verdict) -> None:
-        """Count a rejection, and log it if it is among the first of its reason in this second."""
+        """Count a rejection, and log it if it is one of the first with its reason in this second."""
         second = int(self._loop.now)
         if second != self._second:
             self._log_suppressed()
@@ -71,7 +69,7 @@
             self._log("admission_rejected", reason=reason, placement=verdict.placement.value)
 
     def _log_suppressed(self) -> None:
-        """Log how many rejections of the last second were not."""
+        """Log the number of rejections in the last second that were not logged."""
         for reason, count in self._counts.items():
             suppressed = count - MAX_EVENTS_PER_SECOND
             if suppressed > 0:
@@ -79,18 +77,18 @@
 
 
 class Rejections:
-    """Rejects connections and requests in the protocol of their frontend, and logs it."""
+    """Makes the answers to rejected connections and requests in their frontend's protocol, and logs them."""
 
     def __init__(self, loop: Loop, log: Callable[..., None]) -> None:
         self._answers = RejectionAnswers()
         self._log = RejectionLog(loop, log)
 
     def encode(self, server: Server, frontend: Frontend, verdict: Verdict) -> bytes:
-        """The bytes of the final answer to a rejected connection."""
+        """The bytes of the last answer on a rejected connection."""
         self._log.record(verdict)
         return self._answers.encode(server, frontend, verdict)
 
     def respond(self, frontend: Frontend, verdict: Verdict) -> Response:
-        """The answer to a rejected request, whose connection goes on."""
+        """The answer to a rejected request, whose connection stays open."""
         self._log.record(verdict)
         return frontend.reject(verdict.reason_text, verdict.retry_after)
--- a/stepknot/broker/admission_view.py
+++ b/stepknot/broker/admission_view.py
@@ -1,4 +1,4 @@
-"""What operators see of admission: the admin answer's fields, from the state of the controller."""
+"""Admission for operators: the admin answer of `/admission`, made from the controller's state."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from stepknot.admission.descriptors import DescriptorBudget
 from stepknot.admission.model import TrustLevel
 
-MAX_ROWS = 10  # of each table
+MAX_ROWS = 10  # rows per table
 
 
 class DescriptorRow(msgspec.Struct, frozen=True, rename={"waiting": "lane", "servers": "boxes"}):
-    """Descriptors for each use."""
+    """The allocation of file descriptors."""
 
     limit: int
     fixed: int
@@ -70,12 +70,15 @@
         "rejected": "refused",
     },
 ):
-    """Limits and their use, decisions, and who has most; the keys of the answer are in `rename`."""
+    """The limits and their use, the decisions, and the addresses with the highest counts.
+
+    `rename` has the keys of the answer where they differ from the fields' names.
+    """
 
     descriptors: DescriptorRow
-    slots: dict[str, int]  # taken, by trust level
-    waiting: int
-    reserve: int  # connection slots
+    slots: dict[str, int]  # connection slots in use, by trust level
+    waiting: int  # connections in the waiting queue
+    reserve: int  # connection slots that unknown clients do not get
     queries: int
     max_queries: int
     reserved_bytes: int
@@ -96,7 +99,7 @@
     descriptors: DescriptorBudget,
     silent: Mapping[str, int],
 ) -> AdmissionView:
-    """The state at a time."""
+    """The view of the controller's state at time `now`."""
     settings, slots = controller.settings, controller.slots
     return AdmissionView(
         descriptors=DescriptorRow(
--- a/stepknot/broker/descriptor_budgets.py
+++ b/stepknot/broker/descriptor_budgets.py
@@ -1,4 +1,4 @@
-"""How a broker's file descriptors are divided, by the process's limit at its start."""
+"""Divides a broker's file descriptors among their uses, by the process's limit at its start."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from stepknot.admission.descriptors import DescriptorBudget, allocate_descriptors
 from stepknot.admission.model import AdmissionSettings
 
-MAX_DESCRIPTORS = 200_000  # beyond this a limit says nothing about what a broker can serve
+MAX_DESCRIPTORS = 200_000  # a broker cannot serve more connections, even if its descriptor limit is higher
 
 
 def find_budgets(
     settings: AdmissionSettings | None, log: Callable[..., None]
 ) -> DescriptorBudget | None:
-    """The budget by the limit in force. None without admission, or where the limit is too low (logged)."""
+    """The budget for the present descriptor limit; None without admission, or if the limit is too low (logged)."""
     if settings is None:
         return None
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
--- a/stepknot/broker/errors.py
+++ b/stepknot/broker/errors.py
@@ -10,4 +10,4 @@
 
 
 class ReloadError(BrokerError, ValueError):
-    """Settings that were read again ask for a change that a running broker cannot make."""
+    """Reloaded settings contain a change that a running broker cannot make."""
--- a/stepknot/broker/lease_views.py
+++ b/stepknot/broker/lease_views.py
@@ -1,4 +1,4 @@
-"""The admin answer of `GET /owner` about leases. Its keys are the names given to `msgspec.field`, or the fields' own."""
+"""The admin answer of `GET /owner` about leases. Its keys are the fields' encoded names, which must not change."""
 
 from __future__ import annotations
 
--- a/stepknot/broker/metrics/__init__.py
+++ b/stepknot/broker/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""Prometheus metrics of a broker, a collector for each subsystem."""
+"""Prometheus metrics of a broker, with one collector for each subsystem."""
--- a/stepknot/broker/metrics/admission.py
+++ b/stepknot/broker/metrics/admission.py
@@ -1,4 +1,4 @@
-"""Metrics of admission: decisions, connections and bounds in use."""
+"""Metrics of admission: its decisions, connections and limits."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 
 
 class AdmissionMetrics:
-    """What the admission gate decided and what it has in use."""
+    """Collects the decisions of admission and the use of its limits."""
 
     def __init__(self, gate: AdmissionGate) -> None:
         self.gate = gate
 
     def collect(self) -> list[Metric]:
-        """Counters of decisions, gauges of what is in use."""
+        """The metrics: decisions and silent closes as counters, the use of limits as gauges."""
         admission = self.gate.admission
         decided = counter_by_label(
             "stepknot_admission_decisions", "What admission decided", "what", admission.decisions
         )
-        silent = counter_by_label(
+        silent_closes = counter_by_label(
             "stepknot_admission_silent",
             "Connections closed without an answer, and why",
             "why",
             self.gate.silent_closes(),
         )
-        seats = GaugeMetricFamily(
+        slots = GaugeMetricFamily(
             "stepknot_admission_seats",
             "Connections served, by how well they are known",
             labels=["rank"],
         )
         for level in TrustLevel:
-            seats.add_metric([level.label], admission.slots.by_trust[level])
-        return [decided, silent, seats, *self._bounds()]
+            slots.add_metric([level.label], admission.slots.by_trust[level])
+        return [decided, silent_closes, slots, *self._limits()]
 
-    def _bounds(self) -> list[Metric]:
+    def _limits(self) -> list[Metric]:
         admission = self.gate.admission
         return [
             GaugeMetricFamily(f"stepknot_admission_{name}", text, value)
--- a/stepknot/broker/metrics/graphql.py
+++ b/stepknot/broker/metrics/graphql.py
@@ -12,18 +12,18 @@
 
 
 class GraphqlMetrics:
-    """Requests, prepared documents and clients of the GraphQL frontend.
+    """Collects the requests, prepared documents and clients of the GraphQL frontend.
 
     Args:
-        frontend: The frontend; a layer above this one, so its type is not named here.
-        server: Its server.
+        frontend: The frontend. Its type belongs to a higher layer, which this module must not import.
+        server: The frontend's server.
     """
 
     def __init__(self, frontend: Any, server: Server) -> None:
         self.frontend, self.server = frontend, server
 
     def collect(self) -> list[Metric]:
-        """Counters of requests, gauges of the rest."""
+        """The metrics: requests as counters, everything else as gauges."""
         requests = counter_by_label(
             "stepknot_graphql_requests",
             "GraphQL requests by what became of them",
--- a/stepknot/broker/metrics/in_flight.py
+++ b/stepknot/broker/metrics/in_flight.py
@@ -1,4 +1,4 @@
-"""Metrics of what a broker has in flight now."""
+"""Metrics of a broker's present load."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class InFlightMetrics:
-    """Queries, attempts, clients and listed nodes, and the longest turn."""
+    """Collects the numbers of queries, attempts, clients and listed nodes, and the longest iteration of the loop."""
 
     def __init__(self, core: Core, server: Server, loop: Loop) -> None:
         self.core, self.server, self.loop = core, server, loop
 
     def collect(self) -> list[Metric]:
-        """Gauges only."""
+        """The metrics, all of which are gauges."""
         core = self.core
         return [
             GaugeMetricFamily(f"stepknot_{name}", text, value)
--- a/stepknot/broker/metrics/loop.py
+++ b/stepknot/broker/metrics/loop.py
@@ -1,4 +1,4 @@
-"""Metrics of the loop's turns."""
+"""Metrics of the loop's iterations."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class LoopMetrics:
-    """How long the loop's turns took."""
+    """Collects the durations of the loop's iterations."""
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
 
     def collect(self) -> list[Metric]:
-        """One histogram, in seconds."""
+        """The metrics: one histogram of durations in seconds."""
         total = 0
         buckets = []
         for bound, count in zip((*LAG_BUCKETS, "+Inf"), self.loop.lag_counts, strict=True):
--- a/stepknot/broker/metrics/queries.py
+++ b/stepknot/broker/metrics/queries.py
@@ -1,4 +1,4 @@
-"""Metrics of queries, attempts and the work behind them."""
+"""Metrics of queries, attempts, calls and connections to nodes, and busy time."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class QueryMetrics:
-    """Queries by class and tenant, attempts by outcome, and totals of the core, the pool and the loop."""
+    """Collects queries by class and tenant, attempts by outcome, and totals of the core, the pool and the loop."""
 
     def __init__(self, core: Core, pool: ConnectionPool, loop: Loop) -> None:
         self.core, self.pool, self.loop = core, pool, loop
 
     def collect(self) -> list[Metric]:
-        """Counters only."""
+        """The metrics, all of which are counters."""
         core = self.core
         return [
             _by_ending(
--- a/stepknot/broker/metrics/registry.py
+++ b/stepknot/broker/metrics/registry.py
@@ -1,4 +1,4 @@
-"""All collectors of a broker behind one registry, in the order in which `/metrics` shows them."""
+"""Combines all collectors of a broker in one registry, in the order in which `/metrics` shows them."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class Collector(Protocol):
-    """One subsystem's metrics."""
+    """Collects one subsystem's metrics."""
 
     def collect(self) -> list[Metric]:
-        """The subsystem's metrics as of now."""
+        """The subsystem's metrics with their present values."""
 
 
 class BrokerMetrics:
     """A broker's metrics.
 
     Args:
-        collectors: The subsystems' collectors, in the order of their metrics in the text.
+        collectors: The subsystems' collectors, in the order of their metrics in `/metrics`.
     """
 
     def __init__(self, collectors: Sequence[Collector]) -> None:
@@ -29,7 +29,7 @@
         self.registry.register(self)
 
     def collect(self) -> list[Metric]:
-        """All subsystems' metrics; the registry calls this."""
+        """The metrics of all subsystems. The registry calls this."""
         return [metric for each in self.collectors for metric in each.collect()]
 
     def text(self) -> bytes:
--- a/stepknot/broker/metrics/zones.py
+++ b/stepknot/broker/metrics/zones.py
@@ -1,4 +1,4 @@
-"""Metrics of zones, one series for each zone."""
+"""Metrics of zones, with one series for each zone."""
 
 from __future__ import annotations
 
@@ -11,11 +11,8 @@
 from stepknot.zones.failover import ZoneFailover
 from stepknot.zones.model import ZoneState, ZoneView
 
-STATES = (
-    ZoneState.HEALTHY,
-    ZoneState.RECOVERING,
-    ZoneState.UNAVAILABLE,
-)  # a state's value is its place here
+# The value of the state metric is the state's position in this tuple.
+STATES = (ZoneState.HEALTHY, ZoneState.RECOVERING, ZoneState.UNAVAILABLE)
 GAUGES: tuple[tuple[str, str, Callable[[ZoneView], float]], ...] = (
     ("state", "0 sound, 1 returning, 2 dark", lambda view: STATES.index(view.state)),
     ("tier", "Preference, 0 is best", lambda view: view.tier),
@@ -29,18 +26,18 @@
 
 
 class ZoneMetrics:
-    """Each zone's state, traffic and bounds."""
+    """Collects each zone's state, traffic and limits."""
 
     def __init__(self, zones: ZoneFailover, loop: Loop) -> None:
         self.zones, self.loop = zones, loop
 
     def collect(self) -> list[Metric]:
-        """Gauges only."""
+        """The metrics, all of which are gauges."""
         views = self.zones.views(self.loop.now)
-        found: list[Metric] = []
+        metrics: list[Metric] = []
         for name, text, read in GAUGES:
             gauge = GaugeMetricFamily(f"stepknot_zone_{name}", text, labels=["zone"])
             for view in views:
                 gauge.add_metric([view.zone], read(view))
-            found.append(gauge)
-        return found
+            metrics.append(gauge)
+        return metrics
--- a/stepknot/broker/own_addresses.py
+++ b/stepknot/broker/own_addresses.py
@@ -1,4 +1,4 @@
-"""The addresses under which an endpoint list would name this broker itself."""
+"""The addresses by which an endpoint list may name this broker itself."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 def own_addresses(
     listeners: Iterable[tuple[str, int]], advertised: tuple[str, int] | None
 ) -> frozenset[str]:
-    """Addresses of the broker's listeners as a list would name them.
+    """The addresses of the broker's listeners in the form of an endpoint list.
 
     Args:
-        listeners: Host as configured and port as bound. A listener on all addresses of the machine counts under
-            the loopback addresses and the advertised one.
-        advertised: Where other brokers send their datagrams, if that is configured.
+        listeners: The configured host and the bound port of each listener. For a listener on all of the machine's
+            addresses, the result has the loopback addresses and the advertised address.
+        advertised: The address to which other brokers send datagrams, if it is configured.
     """
-    anywhere = (*LOOPBACK, *([advertised[0]] if advertised is not None else []))
+    machine_hosts = (*LOOPBACK, *([advertised[0]] if advertised is not None else []))
     return frozenset(
         _address(host, port)
         for configured, port in listeners
-        for host in (anywhere if configured in ANY_ADDRESS else (configured,))
+        for host in (machine_hosts if configured in ANY_ADDRESS else (configured,))
     )
 
 
--- a/stepknot/broker/peer_addresses.py
+++ b/stepknot/broker/peer_addresses.py
@@ -1,4 +1,4 @@
-"""Packed addresses of sockets' peers, and which of the peers are trusted proxies."""
+"""The packed addresses of sockets' peers, and the networks of trusted proxies."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from stepknot.admission.addresses import Address, NetworkSet, parse_address
 
-MAX_CACHED_ADDRESSES = 4096  # whose packed form is cached
+MAX_CACHED_ADDRESSES = 4096
 
-Peer = tuple[Any, ...]  # a socket's peer, the address first
+Peer = tuple[Any, ...]  # the address of a socket's peer as Python gives it: the host, then the port
 
 
 class PeerAddresses:
     """Parses and caches the addresses of peers.
 
     Args:
-        trusted: Networks of the trusted proxies.
+        trusted: The networks of trusted proxies.
     """
 
     def __init__(self, trusted: Iterable[str]) -> None:
         self.trusted = NetworkSet(trusted)
-        self._cached: dict[str, Address] = {}  # by the socket's text
+        self._cached: dict[str, Address] = {}  # packed address by the host's text
 
     def address(self, peer: Peer) -> Address:
         """The packed address of a peer."""
--- a/stepknot/broker/process.py
+++ b/stepknot/broker/process.py
@@ -1,4 +1,4 @@
-"""What every broker's process has in common, whatever protocol it speaks: its loop, collector and end."""
+"""The base class of broker processes, for all protocols: the loop, the garbage collector's settings and shutdown."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from stepknot.net.loop import Loop
 from stepknot.net.tasks import Coroutine
 
-# Objects allocated and not freed between two passes of the garbage collector over the young generation. Queries leave
-# no reference cycles behind (a test checks it), so passes find nothing. A full one over all that is in flight takes a
-# tenth of a second, and all queries wait for it.
-COLLECT_EVERY = 50_000
+# The garbage collector's threshold: allocations minus deallocations between two collections of the young generation.
+# Queries leave no reference cycles behind (a test checks this), so collections find nothing. A full collection over
+# everything in flight takes 0.1 seconds, during which all queries wait.
+GC_THRESHOLD = 50_000
 
-# Blocked by the caller, if it wishes so, until `BrokerProcess.run_loop` handles them.
+# Signals that a caller may block until `BrokerProcess.run_loop` handles them.
 HANDLED_SIGNALS = {signal.SIGHUP, signal.SIGTERM}
 
 
 class BrokerProcess:
-    """A broker on a loop of its own. A subclass says in `shut_down` what it does once it must stop."""
+    """A broker with its own loop. Subclasses implement the graceful shutdown in `shut_down`."""
 
     loop: Loop
     core: Core
@@ -28,12 +28,19 @@
     stopping = False
 
     def on_task_error(self, name: str, error: BaseException) -> None:
-        """Log a task that failed unexpectedly; the broker goes on for all others."""
+        """Log a task that failed unexpectedly; the broker continues with all other tasks."""
         self.core.counts["internal_errors"] += 1
         self.log("task_failed", task=name, error=f"{type(error).__name__}: {error}", exc_info=error)
 
     def on_slow_turn(self, took: float, cpu: float) -> None:
-        """Log a long turn, in seconds. Little processor time means a busy machine, much of it a busy broker."""
+        """Log a slow iteration of the loop.
+
+        Little processor time in a slow iteration indicates a busy machine, much processor time a busy broker.
+
+        Args:
+            took: Duration of the iteration in seconds.
+            cpu: Processor time of the iteration in seconds.
+        """
         self.log(
             "loop_stalled",
             took=round(took, 3),
@@ -43,19 +50,20 @@
         )
 
     def run_loop(self, reload: Callable[[], None] | None) -> None:
-        """Turn until `shut_down` is over; `reload` is what SIGHUP does."""
+        """Run the loop until `shut_down` stops it; `reload` is called on SIGHUP."""
         self.loop.on_signal(self.stop, signal.SIGTERM, signal.SIGINT)
         if reload is not None:
             self.loop.on_signal(reload, signal.SIGHUP)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
-        # Settings, grammar and modules stay for good: the collector need not walk them at every pass, nor pass often.
+        # Settings, grammars and modules are never freed, so the collector does not need to traverse them. Collections
+        # are also made rare.
         gc.collect()
         gc.freeze()
-        gc.set_threshold(COLLECT_EVERY, 100, 1000)
+        gc.set_threshold(GC_THRESHOLD, 100, 1000)
         self.loop.run()
 
     def stop(self) -> None:
-        """Begin the graceful shutdown; later calls do nothing."""
+        """Start the graceful shutdown; later calls do nothing."""
         if not self.stopping:
             self.stopping = True
             self.loop.spawn(self.shut_down(), "ending")
@@ -63,11 +71,11 @@
     def wait_while(
         self, condition: Callable[[], bool], max_seconds: float, interval: float
     ) -> Coroutine:
-        """Wait as long as the condition holds, looked at in each interval, or until the time is over."""
+        """Wait while the condition holds, but for `max_seconds` at most; it is checked every `interval` seconds."""
         until = self.loop.now + max_seconds
         while condition() and self.loop.now < until:
             yield from self.loop.sleep(interval)
 
     def shut_down(self) -> Coroutine:
-        """Stop accepting, end what is in flight, and stop the loop."""
+        """Stop accepting requests, end the queries in flight, and stop the loop."""
         raise NotImplementedError
--- a/stepknot/broker/reload.py
+++ b/stepknot/broker/reload.py
@@ -1,4 +1,4 @@
-"""Reading the settings again on SIGHUP. What can change is the GraphQL schema and its limits."""
+"""Reloads the settings on SIGHUP. Only the GraphQL schema and its limits can change at run time."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 
 
 def reload_settings(
-    load_again: Callable[[], Config],
-    running: Config,
+    load_settings: Callable[[], Config],
+    current: Config,
     graphql: Any,
     log: Callable[..., None],
 ) -> None:
-    """Read the settings again and hand them to the GraphQL frontend, for operations that begin from now on.
+    """Reload the settings and pass them to the GraphQL frontend, which uses them for operations that start later.
 
-    All else needs a restart. Settings that are wrong change nothing.
+    Changes of other settings need a restart. Settings with an error change nothing.
 
     Args:
-        load_again: Reads the settings.
-        running: The settings in force.
-        graphql: The GraphQL frontend, None where there is none.
-        log: Takes the event of the reload or of its rejection.
+        load_settings: Reads the settings.
+        current: The settings in use.
+        graphql: The GraphQL frontend, None if there is none.
+        log: Writes the log event of the reload or of its rejection.
     """
     try:
-        config = load_again()
+        config = load_settings()
         if graphql is None or config.graphql is None:
             raise ReloadError(
-                "only the graphql block is read again, and it is not there before and after"
+                "only the graphql block can be reloaded, and it must be present before and after"
             )
-        if config.indices != running.indices:
-            raise ReloadError("the indices differ: that needs a restart")
+        if config.indices != current.indices:
+            raise ReloadError("the indices have changed, which needs a restart of the broker")
         graphql.reload(config)
-    except Exception as error:  # noqa: BLE001 - whatever is wrong with it, the old settings stay
+    except Exception as error:  # noqa: BLE001 - after any error, the current settings stay in use
         log("reload_rejected", reason=f"{type(error).__name__}: {error}")
     else:
         log(
--- a/stepknot/broker/service.py
+++ b/stepknot/broker/service.py
@@ -40,28 +40,28 @@
 from stepknot.nodes.rest_transport import RestTransport
 from stepknot.zones.failover import ZoneFailover
 
-if TYPE_CHECKING:  # loaded only where their blocks are configured
+if TYPE_CHECKING:  # these modules are loaded only if their blocks are configured
     from stepknot.broker.lease_driver import LeaseDriver
     from stepknot.broker.subset_driver import SubsetDriver
 
-NO_CONNECTION_BUDGET = 1_000_000  # connections to nodes, without admission
+UNLIMITED_CONNECTIONS = 1_000_000  # connections to nodes if admission is not configured
 MAX_ADMIN_BODY_BYTES = 65536
-IN_FLIGHT_GRACE = 10.0  # seconds for which queries may end by themselves once the broker must stop
-FINAL_ANSWER_GRACE = 2.0  # seconds for final answers to leave after that
-STOP_POLL_INTERVAL = 0.02  # seconds between two looks whether all has ended
+IN_FLIGHT_GRACE = 10.0  # seconds that queries in flight get to end by themselves at shutdown
+FINAL_ANSWER_GRACE = 2.0  # seconds after that for the last answers to be sent
+STOP_POLL_INTERVAL = 0.02  # seconds between two checks whether queries or clients are left
 Log = Callable[..., None]
 
 
 class Service(BrokerProcess):
-    """One broker on a loop of its own.
+    """One broker with its own loop.
 
     Args:
         config: The settings.
-        log: Takes an event's name and its fields.
-        make_search: Makes the search frontend; it is a layer above, so its type is not named here.
-        make_graphql: Makes the GraphQL frontend, used where the settings have one.
+        log: Writes a log event, given its name and fields.
+        make_search: Makes the search frontend. Its type belongs to a higher layer, which this module must not import.
+        make_graphql: Makes the GraphQL frontend; called only if the settings have a `graphql` block.
         clock: A monotonic clock, in seconds.
-        load_again: Reads the settings again on SIGHUP.
+        load_again: Reads the settings again on SIGHUP; None to ignore SIGHUP.
 
     Raises:
         OSError: An address cannot be listened on.
@@ -77,16 +77,16 @@
         make_graphql: Callable[[Service], Any] | None = None,
         load_again: Callable[[], Config] | None = None,
     ) -> None:
-        # The order of these steps is the order of draws from the seeded generator.
+        # The order of these steps must not change, as several of them draw from the seeded random generator.
         self.config, self.log, self.load_again = config, log, load_again
-        chance = random.Random(config.seed) if config.seed else random.Random()
-        self.loop = Loop(clock, chance, on_error=self.on_task_error)
+        rng = random.Random(config.seed) if config.seed else random.Random()
+        self.loop = Loop(clock, rng, on_error=self.on_task_error)
         self.loop.on_slow_turn = self.on_slow_turn
         self.name = f"{config.name}@{config.listen[0]}:{config.listen[1]}"
         budgets = find_budgets(config.admission, log)
         self.pool = self._make_pool(budgets)
-        self.zones = self._make_zones(chance)
-        self.core = self._make_core(chance)
+        self.zones = self._make_zones(rng)
+        self.core = self._make_core(rng)
         self.queries = QueryRunner(config, self.core, self.pool)
         self.search = make_search(self)
         self.server = Server(
@@ -109,8 +109,8 @@
             self.endpoints.receive_list,
             lambda reason: log("endpoint_list_rejected", reason=reason),
         )
-        self.membership = self._make_membership(chance)
-        self.leases = self._make_leases(chance)
+        self.membership = self._make_membership(rng)
+        self.leases = self._make_leases(rng)
         self._add_admin_paths()
         self.broker_metrics = BrokerMetrics(self._collectors())
 
@@ -124,10 +124,10 @@
             config.connect_timeout,
             config.settings.limits.idle_connection,
             config.reply,
-            budgets.servers if budgets is not None else NO_CONNECTION_BUDGET,
+            budgets.servers if budgets is not None else UNLIMITED_CONNECTIONS,
         )
 
-    def _make_zones(self, chance: random.Random) -> ZoneFailover | None:
+    def _make_zones(self, rng: random.Random) -> ZoneFailover | None:
         config = self.config
         if config.zones is None:
             return None
@@ -138,12 +138,12 @@
             rules.cold_share,
             rules.cold_time,
             shortest_objective,
-            chance.getrandbits(62),
+            rng.getrandbits(62),
         )
 
-    def _make_core(self, chance: random.Random) -> Core:
+    def _make_core(self, rng: random.Random) -> Core:
         config = self.config
-        seed = chance.getrandbits(62)
+        seed = rng.getrandbits(62)
         codec = RestCodec(f"stepknot/{config.listen[1]}")
         transport = RestTransport(
             self.loop, self.pool, codec, config.settings.parts_per_call, self.log
@@ -194,7 +194,7 @@
         config = self.config
         if config.subset is None:
             return None
-        from stepknot.broker.subset_driver import SubsetDriver  # not loaded without the block
+        from stepknot.broker.subset_driver import SubsetDriver  # loaded only if configured
 
         subsets = SubsetDriver(
             self.loop,
@@ -218,24 +218,22 @@
             listeners, config.peers.advertise if config.peers is not None else None
         )
 
-    def _make_membership(self, chance: random.Random) -> MembershipDriver | None:
+    def _make_membership(self, rng: random.Random) -> MembershipDriver | None:
         if self.config.peers is None:
             return None
-        seed = chance.getrandbits(62)
+        seed = rng.getrandbits(62)
         return MembershipDriver(
             self.loop, self.config.peers, seed, self.set_instance_count, self.log
         )
 
-    def _make_leases(self, chance: random.Random) -> LeaseDriver | None:
+    def _make_leases(self, rng: random.Random) -> LeaseDriver | None:
         if self.config.owners is None or self.membership is None:
             return None
-        from stepknot.broker.lease_driver import (  # not loaded without the block
-            BrokerParts,
-            LeaseDriver,
-        )
+        # These modules are loaded only if leases are configured.
+        from stepknot.broker.lease_driver import BrokerParts, LeaseDriver
 
         parts = BrokerParts(self.loop, self.membership, self.core, self.endpoints, self.log)
-        return LeaseDriver(self.config.owners, parts, chance.getrandbits(62))
+        return LeaseDriver(self.config.owners, parts, rng.getrandbits(62))
 
     def _add_admin_paths(self) -> None:
         routes = self.admin_routes
@@ -252,32 +250,33 @@
             routes.add_subsets(self.subsets)
 
     def _add_lease_commands(self, leases: LeaseDriver) -> None:
-        from stepknot.broker.admin.lease_commands import (
-            LeaseCommands,
-        )  # not loaded without the block
+        # This module is loaded only if leases are configured.
+        from stepknot.broker.admin.lease_commands import LeaseCommands
 
         commands = LeaseCommands(self.loop, leases)
         self.admin_routes.add_command("/owner/order", commands.handle)
         self.admin_routes.add_command("/owner/yield", commands.handle)
 
     def _collectors(self) -> list[Collector]:
-        """In the order of their metrics in `/metrics`."""
-        found: list[Collector] = [QueryMetrics(self.core, self.pool, self.loop)]
+        """All collectors, in the order of their metrics in `/metrics`."""
+        collectors: list[Collector] = [QueryMetrics(self.core, self.pool, self.loop)]
         if self.zones is not None:
-            found.append(ZoneMetrics(self.zones, self.loop))
-        found.append(InFlightMetrics(self.core, self.server, self.loop))
+            collectors.append(ZoneMetrics(self.zones, self.loop))
+        collectors.append(InFlightMetrics(self.core, self.server, self.loop))
         if self.graphql_server is not None:
-            found.append(GraphqlMetrics(self.graphql, self.graphql_server))
-        found += [each for each in (self.membership, self.leases, self.subsets) if each is not None]
+            collectors.append(GraphqlMetrics(self.graphql, self.graphql_server))
+        collectors += [
+            each for each in (self.membership, self.leases, self.subsets) if each is not None
+        ]
         if self.gate is not None:
-            found.append(AdmissionMetrics(self.gate))
-        found.append(LoopMetrics(self.loop))
-        return found
+            collectors.append(AdmissionMetrics(self.gate))
+        collectors.append(LoopMetrics(self.loop))
+        return collectors
 
-    # --- what subsystems tell each other
+    # --- communication between subsystems
 
     def set_instance_count(self, count: int) -> None:
-        """No more brokers than this may be there, by membership."""
+        """Set the upper bound of the number of brokers, as found by membership."""
         self.core.set_instance_count(count)
         if self.subsets is not None:
             self.subsets.set_instances(count)
@@ -289,19 +288,23 @@
     # --- life cycle
 
     def run(self) -> int:
-        """Serve until the broker must stop; the exit code."""
+        """Serve until the broker is stopped; returns the exit code."""
         self.log("broker_started", address=f"{self.config.listen[0]}:{self.server.port}")
         self.run_loop(self.reload if self.load_again is not None else None)
         self.log("broker_stopped")
         return 0
 
     def reload(self) -> None:
-        """Read the settings again; what is wrong with them changes nothing."""
+        """Reload the settings. Settings with an error change nothing."""
         assert self.load_again is not None
         reload_settings(self.load_again, self.config, self.graphql, self.log)
 
     def shut_down(self) -> Coroutine:
-        """Stop accepting, let queries end or finish them, let final answers leave, and stop the loop."""
+        """Stop accepting requests, wait for the queries in flight and their answers, and stop the loop.
+
+        Queries that are still in flight after `IN_FLIGHT_GRACE` are ended. The last answers then get
+        `FINAL_ANSWER_GRACE` to be sent.
+        """
         self.log("shutdown_started", queries=len(self.core.queries))
         if self.leases is not None:
             self.leases.leave()
--- a/stepknot/broker/waiting_connection.py
+++ b/stepknot/broker/waiting_connection.py
@@ -1,6 +1,6 @@
-"""One connection in the waiting queue: until its first request is there, then until its rejection has left.
+"""A connection in the waiting queue: it waits for its first request, and then until its rejection is sent.
 
-It costs no coroutine: one object, and one read, one write and a close for most.
+It needs no coroutine: a waiting connection is one object, and most need only one read, one write and one close.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 if TYPE_CHECKING:
     from stepknot.broker.admission_gate import AdmissionGate
 
-MAX_HEAD = 16 * 1024  # bytes of a first request that are read to find the end of its head
+MAX_HEAD = 16 * 1024  # maximum bytes read to find the end of the first request's head
 READ_SIZE = 64 * 1024
-MAX_LENGTH_DIGITS = 11  # of a content-length that is believed
+MAX_LENGTH_DIGITS = 11  # a content-length with more digits is ignored
 AUTHORIZATION = re.compile(rb"authorization", re.IGNORECASE)
 
 
 class SilentClose(Enum):
-    """Why a connection was closed without an answer; the values are labels of metrics."""
+    """Why a connection was closed without an answer. The values are labels of metrics."""
 
     DISCONNECTED = "left before its refusal"
     NO_REQUEST = "closed without a word"
@@ -34,14 +34,14 @@
 
 
 def content_length(head: bytes) -> int:
-    """The length of the body by a request's head; 0 where it says none."""
+    """The length of the body according to a request's head; 0 if the head has no valid content-length."""
     _, found, after = head.lower().partition(b"content-length:")
     digits = after.partition(b"\r\n")[0].strip() if found else b""
     return int(digits) if digits.isdigit() and len(digits) <= MAX_LENGTH_DIGITS else 0
 
 
 class WaitingConnection:
-    """Reads the first request of a connection over a limit; it is served if it shows an API key, else rejected."""
+    """Reads the first request of a connection over a limit. It is served if it has an API key, otherwise rejected."""
 
     __slots__ = (
         "_data",
@@ -65,8 +65,8 @@
         self.number = number
         self.since = gate.loop.now
         self.answered = False
-        self._data = b""  # of the first request
-        self._unread = 0  # bytes of its body that are still to be read off
+        self._data = b""  # bytes of the first request
+        self._unread = 0  # bytes of its body that have not been read yet
         link.on_readable = self._on_readable
 
     def _on_readable(self) -> None:
@@ -82,7 +82,7 @@
             self.close(None if self.answered else SilentClose.DISCONNECTED)
 
     def receive(self, data: bytes) -> None:
-        """Bytes of the first request, or of the rest of its body."""
+        """Process bytes of the first request, or of the rest of its body after the rejection."""
         if self.answered:
             self._unread -= len(data)
             if self._unread <= 0:
@@ -93,7 +93,7 @@
             self._decide()
 
     def _decide(self) -> None:
-        """The head of the first request is here: admit the connection by its API key, or reject it."""
+        """Admit or reject the connection by the head of its first request."""
         head, _, body = self._data.partition(b"\r\n\r\n")
         verdict = self._gate.on_first_request(self.number, head)
         if verdict.placement is Placement.ADMITTED:
@@ -109,11 +109,12 @@
         except OSError:
             self.close(SilentClose.DISCONNECTED)
             return
-        # Closing with bytes unread would reset the connection and could lose the answer: they are read off first.
+        # Closing a socket with unread bytes resets the connection, and the client may lose the answer. So the rest of
+        # the body is read first.
         if self._unread <= 0:
             self.close()
 
     def close(self, silent: SilentClose | None = None) -> None:
-        """End the connection; `silent` says why it got no answer."""
+        """Close the connection; `silent` is the reason if it got no answer."""
         self.link.close()
         self._gate.on_waiting_closed(self, silent)
