--- a/bench/trace_packages/broker.py
+++ b/bench/trace_packages/broker.py
@@ -1,7 +1,7 @@
-"""Seeded runs of the broker's core over scripted nodes on a virtual clock, and of clients' queries on it.
+"""Seeded runs of the broker's core with scripted nodes on a virtual clock, and of clients' queries on the core.
 
-What counts: all that the core hands to the transport, in its order and with its time, each query's end,
-the values of the log's lines, and the counters at the end.
+The trace has everything that the core passes to the transport, in order and with its time, the result of each query,
+the values of the log events, and the counters at the end.
 """
 
 from __future__ import annotations
@@ -53,12 +53,12 @@
     api.Outcome.REJECTED,
     api.Outcome.NOT_CONNECTED,
     api.Outcome.RESET,
-    None,  # no reply comes at all
+    None,  # no reply
 )
 
 
 class VirtualNetwork:
-    """Waiting takes no time: the clock goes on instead."""
+    """A network without sockets. Waiting takes no real time, but advances the virtual clock."""
 
     def __init__(self) -> None:
         self.now = START
@@ -68,16 +68,16 @@
         return self.now
 
     def poll(self, timeout: float) -> list[tuple[int, int]]:
-        """Nothing ever comes by a socket."""
+        """Advance the clock by the timeout; no socket is ever ready."""
         self.now += timeout
         return []
 
     def wake(self) -> None:
-        """Nobody waits."""
+        """Do nothing, as `poll` never blocks."""
 
 
 class ScriptedNodes:
-    """The transport: replies come by seeded chance, and all that the core asks for goes into the trace."""
+    """The transport: replies follow a seeded random generator, and all calls by the core are added to the trace."""
 
     def __init__(self, loop: Loop, trace: Trace, seed: int, answer: Callable[[Any], Any]) -> None:
         self.loop, self.trace, self.rng, self.answer = loop, trace, random.Random(seed), answer
@@ -86,7 +86,7 @@
         self.failing: set[str] = set()
 
     def send(self, server: str, attempts: list[Any]) -> int:
-        """Each attempt's reply is planned; the number of calls is that of full threes."""
+        """Schedule the reply of each attempt; returns the number of calls, of which each carries three attempts."""
         self.trace.add("send", self.loop.now, server, len(attempts))
         for attempt in attempts:
             self.trace.add(attempt.name, attempt.wait, attempt.not_after, repr(attempt.request))
@@ -101,7 +101,7 @@
         return (len(attempts) + 2) // 3
 
     def reply(self, attempt: Any, outcome: api.Outcome) -> None:
-        """The planned end, unless it was cancelled."""
+        """Deliver the scheduled reply, unless the attempt was cancelled."""
         if self.sent_at.pop(attempt, None) is None:
             return
         attempt.call = None
@@ -111,46 +111,46 @@
         self.on_reply(attempt, PartReply(outcome, payload, reason), load)
 
     def cancel(self, attempt: Any) -> None:
-        """Nobody waits for it any more."""
+        """Cancel an attempt, so that its scheduled reply is dropped."""
         found = self.sent_at.pop(attempt, None)
         self.trace.add("cancel", self.loop.now, attempt.name, found is not None)
         attempt.call = None
 
     def is_unsent(self, attempt: Any) -> bool:
-        """Whether it was sent a moment ago only."""
+        """Whether the attempt is less than 4 ms old, which counts as not sent yet."""
         at, _ = self.sent_at.get(attempt, (0.0, ""))
         return self.loop.now - at < 0.004
 
     def withdraw(self, server: str) -> None:
-        """What was sent a moment ago ends as not connected."""
+        """End the node's attempts that are less than 4 ms old as not connected."""
         self.trace.add("withdraw", self.loop.now, server)
         for attempt, (at, to) in list(self.sent_at.items()):
             if to == server and self.loop.now - at < 0.004:
                 self.reply(attempt, api.Outcome.NOT_CONNECTED)
 
     def probe(self, server: str, on_end: Callable[[api.Outcome, dict[str, float]], None]) -> None:
-        """Answered after a moment, or not connected."""
+        """Schedule the answer to a health check; for some nodes the connection fails."""
         self.trace.add("probe", self.loop.now, server)
-        dead = server.startswith("dark") or server in self.failing or self.rng.random() < 0.1
-        outcome = api.Outcome.NOT_CONNECTED if dead else api.Outcome.SERVED
-        load = {} if dead else {"inflight": float(self.rng.randrange(5))}
+        fails = server.startswith("dark") or server in self.failing or self.rng.random() < 0.1
+        outcome = api.Outcome.NOT_CONNECTED if fails else api.Outcome.SERVED
+        load = {} if fails else {"inflight": float(self.rng.randrange(5))}
         self.loop.call_later(0.002 + 0.02 * self.rng.random(), partial(on_end, outcome, load))
 
     def close_idle(self, server: str) -> None:
-        """Noted."""
+        """Add the call to the trace."""
         self.trace.add("close", self.loop.now, server)
 
 
 def entry(
     number: int, state: api.ServerState = api.ServerState.LIVE, up_since: float = 0.0
 ) -> api.ServerEntry:
-    """The node of this number: its cell and zone follow from it."""
+    """The endpoint list's entry of a node, whose cell and zone follow from its number."""
     zone = "abc"[number // CELLS]
     return api.ServerEntry(f"n{number}{zone}", zone, number % CELLS, state, 1.0, up_since)
 
 
 def log_to(trace: Trace) -> Callable[..., None]:
-    """A log whose lines' values count, without the names."""
+    """A log function that adds the values of events' fields to the trace, without the names."""
 
     def log(_event: str, **fields: Any) -> None:
         trace.add(*(value for value in fields.values() if not isinstance(value, BaseException)))
@@ -159,14 +159,14 @@
 
 
 def accept(payload: Any) -> Any:
-    """Some answers are none."""
+    """Decode a payload; some payloads count as malformed."""
     if payload % 17 == 0:
         raise ValueError(f"{payload} is no answer")
     return payload
 
 
-class Day:
-    """Seeded queries on one core, with clients that leave and a list that changes."""
+class CoreRun:
+    """Seeded queries on one core, with clients that disconnect and an endpoint list that changes."""
 
     def __init__(self, trace: Trace, seed: int, zoned: bool, **bounds: Any) -> None:
         self.trace, self.rng = trace, random.Random(seed)
@@ -195,10 +195,10 @@
         )
         entries = tuple(entry(number) for number in range(CELLS * COPIES))
         self.core.update_endpoints(api.ListReceived(api.ListKind.CACHED, entries))
-        self.asked = 0
+        self.query_count = 0
 
-    def play(self, seconds: float, rate: float) -> None:
-        """QueryRunner come until the end, and what is held then is given up."""
+    def run(self, seconds: float, rate: float) -> None:
+        """Start queries until the end, when all queries in flight are ended."""
         end = START + seconds
         self.loop.call_at(START, partial(self.arrive, rate, end))
         for number in range(1, 6):
@@ -215,16 +215,16 @@
         )
 
     def arrive(self, rate: float, end: float) -> None:
-        """Some queries in one turn, and the next ones later."""
+        """Start one or more queries in the same iteration of the loop, and schedule the next ones."""
         for _ in range(self.rng.choice((1, 1, 1, 2, 5))):
             self.start_query()
         if self.loop.now < end:
             self.loop.call_later(self.rng.expovariate(rate), partial(self.arrive, rate, end))
 
     def start_query(self) -> None:
-        """One query of a random class; some clients leave while it runs."""
+        """Start one query of a random class; some clients disconnect while their query runs."""
         rng = self.rng
-        self.asked += 1
+        self.query_count += 1
         name = rng.choice(list(CLASSES))
         shards = rng.sample(range(8), rng.randrange(1, 5))
         query = Query(
@@ -233,8 +233,8 @@
             [self.part(shard, 1 / len(shards)) for shard in shards],
             self.second_step if name == "steps" else None,
             rng.choice(("", "gold", "iron")),
-            f"k{self.asked}",
-            f"q{self.asked}",
+            f"k{self.query_count}",
+            f"q{self.query_count}",
             rng.choice((0.0, 0.01)),
             rng.random() < 0.1,
         )
@@ -246,18 +246,18 @@
             )
 
     def part(self, shard: int, weight: float) -> QueryPart:
-        """A part whose request is its number."""
+        """A part whose request is a random number."""
         return QueryPart(shard, weight, self.rng.randrange(10**6), accept, 0.005)
 
     def second_step(self, parts: list[QueryPart]) -> list[QueryPart]:
-        """One part for each that was served, now and then none."""
+        """A second step with one part for each served part; sometimes without any part."""
         served = [each for each in parts if each.served]
         if self.rng.random() < 0.2:
             return []
         return [self.part(each.shard, 1 / len(served)) for each in served]
 
     def wait_for(self, query: Query) -> Any:
-        """The query's end goes into the trace."""
+        """Wait for the query's end and add it to the trace."""
         result: QueryResult | None = yield from query.done.wait()
         self.trace.add("end", self.loop.now, query.name, query.step, query.first_step_complete)
         if result is not None:
@@ -267,7 +267,10 @@
             self.trace.add(part.attempts, part.reason)
 
     def change(self, number: int) -> None:
-        """The list changes: a node drains, one is gone, one starts anew; a zone fails and returns."""
+        """Change the endpoint list or the nodes.
+
+        A node drains, a node is removed, a node restarts; a zone fails and recovers.
+        """
         state = api.ServerState
         if number == 1:
             rows = (entry(1, state.DRAINING), entry(6, state.GONE))
@@ -287,7 +290,7 @@
 
 
 def answer_rest(request: Any) -> Any:
-    """What a node answers to a search or a write, as the codec hands it on."""
+    """A node's answer to a search or a write, as decoded by the codec."""
     if isinstance(request, WritePart):
         lines = [orjson.loads(line) for line in request.lines.split(b"\n") if line]
         actions = [line for line in lines if next(iter(line)) in ("index", "delete", "create")]
@@ -314,8 +317,8 @@
     }
 
 
-class Clients:
-    """Searches, reads and writes by way of the settings' classes and indices."""
+class ClientRun:
+    """Clients' searches, reads and writes, with the classes and indices of the deployed settings."""
 
     def __init__(self, trace: Trace, seed: int) -> None:
         self.trace, self.rng = trace, random.Random(seed)
@@ -328,35 +331,35 @@
         entries = tuple(entry(number) for number in range(CELLS * COPIES))
         self.core.update_endpoints(api.ListReceived(api.ListKind.FULL, entries))
 
-    def play(self, count: int) -> None:
-        """So many clients come one after the other."""
+    def run(self, count: int) -> None:
+        """Run `count` clients, which start one after the other."""
         for number in range(count):
-            work = (self.search, self.read, self.write, self.several)[number % 4]
-            start = partial(self.loop.spawn, self.guarded(work, number), "client")
+            operation = (self.search, self.read, self.write, self.search_and_read)[number % 4]
+            start = partial(self.loop.spawn, self.run_client(operation, number), "client")
             self.loop.call_at(START + 0.02 * number, start)
         self.loop.call_at(START + 0.02 * count + 5.0, self.loop.stop)
         self.loop.run()
         for key, total in sorted(self.core.counts.items()):
             self.trace.add(key, total)
 
-    def guarded(self, work: Callable[[int, Any], Any], number: int) -> Any:
-        """What a front does: an error is an answer, and some clients leave."""
+    def run_client(self, operation: Callable[[int, Any], Any], number: int) -> Any:
+        """Run a client's operation like a frontend; some clients disconnect."""
 
-        def hang_up(gone: Callable[[], None]) -> None:
+        def subscribe(on_disconnected: Callable[[], None]) -> None:
             if self.rng.random() < 0.1:
-                self.loop.call_later(0.03, gone)
+                self.loop.call_later(0.03, on_disconnected)
 
-        yield from self.caught(work(number, hang_up))
+        yield from self.trace_errors(operation(number, subscribe))
 
-    def caught(self, steps: Any) -> Any:
-        """These steps, an error of theirs noted."""
+    def trace_errors(self, steps: Any) -> Any:
+        """Run these steps and add an error of theirs to the trace."""
         try:
             yield from steps
         except (RequestError, ValueError) as error:
             self.trace.add("error", str(error))
 
     def client(self, number: int) -> ClientInfo:
-        """A client by its headers."""
+        """The client with this number, made from its headers."""
         headers = {"x-opaque-id": f"c{number}"} if number % 3 else {}
         if number % 29 == 0:
             headers["x-query-class"] = "lookup"
@@ -368,8 +371,8 @@
             headers, seconds, self.loop.now - 0.01 if number % 2 else None
         )
 
-    def note(self, outcome: Any) -> None:
-        """A query's end, its parts and its page."""
+    def trace_outcome(self, outcome: Any) -> None:
+        """Add a query's result, parts and page to the trace."""
         if outcome.result is None:
             self.trace.add("gone")
             return
@@ -384,8 +387,8 @@
         for (target, name), row in (outcome.documents or {}).items():
             self.trace.add(target.shard, name, repr(row))
 
-    def search(self, number: int, hang_up: Any) -> Any:
-        """A page over all shards, by score or sorted, now and then by routing or without documents."""
+    def search(self, number: int, subscribe: Any) -> Any:
+        """Search all shards, by score or sorted; sometimes with routing or without documents."""
         body: dict[str, Any] = {"query": {"match": {"title": "x"}}, "size": number % 7}
         if number % 3 == 0:
             body["sort"] = [{"year": "asc"}]
@@ -399,30 +402,30 @@
             frozenset({0, 1, 2}) if number % 12 == 4 else None,
         )
         operation = "count" if number % 16 == 0 else "search"
-        self.note(
+        self.trace_outcome(
             (
                 yield from self.queries.search(
-                    search, targets, operation, self.client(number), f"k{number % 4}", hang_up
+                    search, targets, operation, self.client(number), f"k{number % 4}", subscribe
                 )
             )
         )
 
-    def read(self, number: int, hang_up: Any) -> Any:
-        """Documents by their ids."""
+    def read(self, number: int, subscribe: Any) -> Any:
+        """Read documents by id."""
         index = self.queries.indices.get("reports")
         names = [f"d{number + each}" for each in range(1 + number % 6)]
         wanted = [(self.queries.shard(index, name), name) for name in names]
         source = number % 2 == 0
-        self.note(
+        self.trace_outcome(
             (
                 yield from self.queries.documents(
-                    wanted, source, "mget", self.client(number), hang_up
+                    wanted, source, "mget", self.client(number), subscribe
                 )
             )
         )
 
-    def write(self, number: int, hang_up: Any) -> Any:
-        """A bulk of some documents."""
+    def write(self, number: int, subscribe: Any) -> Any:
+        """Write some documents in bulk."""
         index = self.queries.indices.get("reports")
         writes = [
             Write("index", self.queries.shard(index, name), name, "", {"title": name})
@@ -431,22 +434,22 @@
             )
         ]
         outcome, places = yield from self.queries.write(
-            writes, "bulk", self.client(number), number % 3 == 0, hang_up
+            writes, "bulk", self.client(number), number % 3 == 0, subscribe
         )
-        self.note(outcome)
+        self.trace_outcome(outcome)
         self.trace.add(repr([(target.shard, place) for target, place in places]))
 
-    def several(self, number: int, hang_up: Any) -> Any:
-        """Two of one client side by side."""
-        party = QueryGroup(self.loop, hang_up)
-        party.start(self.caught(self.search(number, party.subscribe)))
-        party.start(self.caught(self.read(number + 1, party.subscribe)))
-        yield from party.wait()
+    def search_and_read(self, number: int, subscribe: Any) -> Any:
+        """Run a search and a read of one client concurrently."""
+        group = QueryGroup(self.loop, subscribe)
+        group.start(self.trace_errors(self.search(number, group.subscribe)))
+        group.start(self.trace_errors(self.read(number + 1, group.subscribe)))
+        yield from group.wait()
 
 
 def record(trace: Trace) -> None:
-    """Two days of the core, one with bounds that are reached, and a run of clients' queries."""
-    Day(trace, 11, zoned=True).play(10.0, 40.0)
-    Day(trace, 23, zoned=False).play(6.0, 40.0)
-    Day(trace, 37, zoned=False, max_queries=6, max_open=25).play(4.0, 60.0)
-    Clients(trace, 51).play(400)
+    """Three runs of the core, the last of which reaches its limits, and a run of clients' queries."""
+    CoreRun(trace, 11, zoned=True).run(10.0, 40.0)
+    CoreRun(trace, 23, zoned=False).run(6.0, 40.0)
+    CoreRun(trace, 37, zoned=False, max_queries=6, max_open=25).run(4.0, 60.0)
+    ClientRun(trace, 51).run(400)
--- a/stepknot/broker/admin/routes.py
+++ b/stepknot/broker/admin/routes.py
@@ -25,14 +25,14 @@
 Route = Callable[[Request], Coroutine]
 
 
-class Viewed(Protocol):
+class ViewableSubsystem(Protocol):
     """A subsystem with a view that can be encoded as JSON."""
 
     def view(self) -> Any:
         """The subsystem's state for operators."""
 
 
-class ViewedSubsets(Protocol):
+class ViewableSubsets(Protocol):
     """The part of the subset driver that the admin socket uses."""
 
     fault: str
@@ -58,7 +58,7 @@
 
     # --- paths
 
-    def add_view(self, path: str, subsystem: Viewed) -> None:
+    def add_view(self, path: str, subsystem: ViewableSubsystem) -> None:
         """Answer requests for this path with a subsystem's view."""
 
         def show(_request: Request) -> Coroutine:
@@ -82,7 +82,7 @@
 
         self.routes["/zones"] = show
 
-    def add_subsets(self, subsets: ViewedSubsets) -> None:
+    def add_subsets(self, subsets: ViewableSubsets) -> None:
         """Answer requests for `/subset` with the subset's state.
 
         `?held=1` adds the nodes in use; `?why=NODE` adds why this node is, or is not, in use.
--- a/stepknot/broker/admin/views.py
+++ b/stepknot/broker/admin/views.py
@@ -1,4 +1,4 @@
-"""Answers of the admin socket as typed views. The names and the order of the fields are the JSON's: don't change them."""
+"""Answers of the admin socket as typed views. The fields' names and order are those of the JSON: do not change them."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_sockets.py
+++ b/tests/admission/test_sockets.py
@@ -25,7 +25,7 @@
 from stepknot.admission.model import TrustLevel
 from stepknot.admission.proxy_protocol import SIGNATURE
 from stepknot.simulation.fleet import free_ports, read_ready, settings_text
-from tests.broker.scripted import WAIT, Call, Client, Running, ScriptedBox, broker, until
+from tests.broker.scripted import WAIT, Call, Client, Running, ScriptedNode, broker, until
 from tests.graphql.asking import JSON
 from tests.graphql.test_hard_cases import set_limits
 
@@ -218,12 +218,12 @@
             gate.wait(WAIT)
         call.serve()
 
-    for box in run.boxes:
+    for box in run.nodes:
         box.script = held
     heavy[0].ask("POST", SEARCH)
     until(
         lambda: (
-            any(box.work() and box.work()[-1].body.count(b"multi") == 0 for box in run.boxes)
+            any(box.work() and box.work()[-1].body.count(b"multi") == 0 for box in run.nodes)
             and view(run)["queries"] == 1
         )
     )
@@ -370,7 +370,7 @@
                 }
             )
 
-        for box in run.boxes:
+        for box in run.nodes:
             box.script = large
         client = at(run, "127.0.0.9")
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -549,7 +549,7 @@
     folder: Path, limit: int, **changed: Any
 ) -> Iterator[tuple[int, int, subprocess.Popen[bytes], Path]]:
     port, graph, admin = free_ports(3)
-    boxes = [ScriptedBox(), ScriptedBox()]
+    boxes = [ScriptedNode(), ScriptedNode()]
     (folder / "broker.hcl").write_text(
         settings_text(
             port=port,
--- a/tests/broker/conftest.py
+++ b/tests/broker/conftest.py
@@ -1,4 +1,4 @@
-"""One broker over scripted nodes, and a client of it."""
+"""Fixtures: a broker with scripted nodes, and a client of the broker."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @pytest.fixture
 def run(tmp_path: Path) -> Iterator[Running]:
-    """One broker; shards 0 and 1, each held by two nodes (0 and 1; 2 and 3)."""
+    """A broker with two shards: nodes 0 and 1 hold shard 0, nodes 2 and 3 hold shard 1."""
     with broker(tmp_path, [0, 0, 1, 1]) as running:
         yield running
 
 
 @pytest.fixture
 def client(run: Running) -> Client:
-    """A client on a connection of its own."""
+    """A client with its own connection."""
     return Client(run.connect())
--- a/tests/broker/scripted.py
+++ b/tests/broker/scripted.py
@@ -1,4 +1,4 @@
-"""A broker in this process whose nodes ("boxes") are scripted byte by byte, and a raw HTTP client of it."""
+"""A broker in the test's process, whose nodes answer by scripts, and a raw HTTP client of the broker."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from stepknot.simulation.fleet import settings_text
 
 SEARCH = "/reports/_search"
-WAIT = 10.0  # seconds for what must happen; nothing here waits that long unless it fails
+WAIT = 10.0  # seconds after which a wait counts as failed; waits that succeed are much shorter
 Script = Callable[["Call"], None]
 
 
 @dataclass
 class Call:
-    """One request as a box's socket got it."""
+    """One request that a node received, and the socket on which to answer it."""
 
-    box: ScriptedBox
+    node: ScriptedNode
     sock: socket.socket
     head: str
     body: bytes
@@ -61,7 +61,7 @@
         self.send(f"HTTP/1.1 {status} X\r\ncontent-length: {len(data)}\r\n\r\n".encode() + data)
 
     def serve(self) -> None:
-        """A sound answer: each shard holds one document, `s<shard>`."""
+        """Send a valid answer, in which each shard has one document, `s<shard>`."""
         if self.probe:
             self.send(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")
         elif self.write:
@@ -123,8 +123,8 @@
     return {"took": 0, "errors": False, "items": [{action: item}]}
 
 
-class Listening:
-    """A stand-in on a port of its own: each connection's conversation has a thread."""
+class ListeningServer:
+    """A server on its own port, with a thread for each connection."""
 
     def __init__(self, port: int = 0) -> None:
         self.listener = socket.create_server(("127.0.0.1", port))
@@ -138,38 +138,37 @@
                 sock, _ = self.listener.accept()
             except OSError:
                 return
-            sock.setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
-            )  # what is sent is there when sendall returns
+            # Without delay, the data is on its way when `sendall` returns.
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.socks.append(sock)
-            threading.Thread(target=self.converse, args=(sock,), daemon=True).start()
+            threading.Thread(target=self.serve_connection, args=(sock,), daemon=True).start()
 
-    def converse(self, sock: socket.socket) -> None:
+    def serve_connection(self, sock: socket.socket) -> None:
         raise NotImplementedError
 
     def close(self) -> None:
-        """At once, also where a thread is reading."""
+        """Close all sockets at once, even while threads read from them."""
         for sock in [self.listener, *self.socks]:
             with suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
             sock.close()
 
 
-class ScriptedBox(Listening):
-    """Each request runs the script in force when it came."""
+class ScriptedNode(ListeningServer):
+    """A node that answers each request by its present script."""
 
     def __init__(self, script: Script | None = None) -> None:
         self.script: Script = script or Call.serve
         self.calls: list[Call] = []
         self.changed = threading.Condition()
-        self.closed_seen = 0  # connections that the broker ended
+        self.closed_count = 0  # connections that ended, for example as the broker closed them
         super().__init__()
 
     @property
     def address(self) -> str:
         return f"127.0.0.1:{self.port}"
 
-    def converse(self, sock: socket.socket) -> None:
+    def serve_connection(self, sock: socket.socket) -> None:
         data = b""
         try:
             while True:
@@ -198,55 +197,60 @@
                 self.script(call)
         except OSError:
             with self.changed:
-                self.closed_seen += 1
+                self.closed_count += 1
                 self.changed.notify_all()
 
     def work(self) -> list[Call]:
+        """The received calls without health checks."""
         return [call for call in self.calls if not call.probe]
 
-    def wait(self, fits: Callable[[ScriptedBox], bool]) -> None:
+    def wait(self, condition: Callable[[ScriptedNode], bool]) -> None:
         with self.changed:
-            assert self.changed.wait_for(lambda: fits(self), WAIT), "it did not happen in time"
+            assert self.changed.wait_for(lambda: condition(self), WAIT), (
+                f"condition on the node at {self.address} not met within {WAIT} s"
+            )
 
 
-class OnThread:
-    """A broker under test whose loop turns on a thread of its own."""
+class BrokerOnThread:
+    """A broker under test whose loop runs on its own thread."""
 
     service: Any
 
     def connect(self) -> socket.socket:
         return socket.create_connection(("127.0.0.1", self.service.server.port), timeout=WAIT)
 
-    def call(self, what: Callable[[], Any]) -> Any:
-        """Run on the broker's loop, and hand back what came of it."""
+    def call(self, function: Callable[[], Any]) -> Any:
+        """Run a function on the broker's loop; returns its result."""
         done = threading.Event()
         result: list[Any] = []
-        self.service.loop.call_at(0.0, lambda: (result.append(what()), done.set()))
+        self.service.loop.call_at(0.0, lambda: (result.append(function()), done.set()))
         self.service.loop.network.wake()
         assert done.wait(WAIT)
         return result[0]
 
 
-def turning(service: Any) -> threading.Thread:
+def start_loop_thread(service: Any) -> threading.Thread:
     thread = threading.Thread(target=service.loop.run, daemon=True)
     thread.start()
     return thread
 
 
-def halt(service: Any, thread: threading.Thread, stand_ins: Sequence[Listening]) -> None:
+def stop_broker(
+    service: Any, thread: threading.Thread, servers: Sequence[ListeningServer]
+) -> None:
     service.loop.call_at(0.0, service.loop.stop)
     service.loop.network.wake()
     thread.join(WAIT)
-    for each in stand_ins:
+    for each in servers:
         each.close()
 
 
 @dataclass
-class Running(OnThread):
-    """The broker under test, its boxes and its list."""
+class Running(BrokerOnThread):
+    """The broker under test, its nodes and its endpoint list."""
 
     service: Service
-    boxes: list[ScriptedBox]
+    nodes: list[ScriptedNode]
     folder: Path
     cells: list[int]
     thread: threading.Thread
@@ -259,14 +263,18 @@
         )
 
     def stall_with_the_next_query(self, seconds: float) -> list[float]:
-        """The loop stands still in the very turn that takes it: however busy the machine, its time cannot end before.
-        What is handed back holds the stall once it has begun.
+        """Stall the loop in the iteration that starts the next query.
+
+        This makes sure that the query's deadline does not pass before the stall begins, even on a busy machine.
+
+        Returns:
+            A list to which the stall is added when it begins.
         """
-        taken = self.call(lambda: self.service.core.counts["queries"])
+        earlier_queries = self.call(lambda: self.service.core.counts["queries"])
         stalls: list[float] = []
 
         def stall() -> None:
-            if not stalls and self.service.core.counts["queries"] > taken:
+            if not stalls and self.service.core.counts["queries"] > earlier_queries:
                 stalls.append(seconds)
                 time.sleep(seconds)
 
@@ -278,12 +286,12 @@
     ) -> None:
         rows = [
             {
-                "address": box.address,
+                "address": node.address,
                 "cell": self.cells[number],
                 "zone": "a",
                 "state": (states or {}).get(number, "live"),
             }
-            for number, box in enumerate(self.boxes)
+            for number, node in enumerate(self.nodes)
             if number not in (gone or set())
         ]
         path = self.folder / "boxes.json"
@@ -293,21 +301,21 @@
 
 @contextmanager
 def broker(folder: Path, cells: list[int], shards: int = 2, **settings: Any) -> Iterator[Running]:
-    """One broker and a scripted box for each entry of `cells`."""
-    boxes = [ScriptedBox() for _ in cells]
+    """Run one broker, with one scripted node for each entry of `cells`, which is the node's cell."""
+    nodes = [ScriptedNode() for _ in cells]
     path = folder / "broker.hcl"
     path.write_text(
         settings_text(port=0, instances=1, cells=max(cells) + 1, shards=shards, **settings)
     )
-    running = Running(None, boxes, folder, cells, None)  # type: ignore[arg-type]
+    running = Running(None, nodes, folder, cells, None)  # type: ignore[arg-type]
     running.write_list()
     service = make(load(path), lambda event, **fields: running.logged.append((event, fields)))
     running.service = service
-    running.thread = turning(service)
+    running.thread = start_loop_thread(service)
     try:
         yield running
     finally:
-        halt(service, running.thread, boxes)
+        stop_broker(service, running.thread, nodes)
 
 
 @dataclass
@@ -318,7 +326,7 @@
 
 
 class Client:
-    """A raw HTTP client on one connection: what it reads is what the socket gave."""
+    """A raw HTTP client on one connection, which reads exactly the bytes that the broker sends."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -363,7 +371,7 @@
         self.data += chunk
 
     def rest(self) -> bytes:
-        """All that still comes until the broker closes."""
+        """Read until the broker closes the connection; returns all bytes."""
         try:
             while True:
                 self.more()
@@ -372,7 +380,8 @@
         except ConnectionResetError:
             return self.data
 
-    def silent_for(self, seconds: float) -> bool:
+    def receives_nothing_for(self, seconds: float) -> bool:
+        """Whether no byte arrives within this time; True also if the broker closes the connection."""
         self.sock.settimeout(seconds)
         try:
             return not self.sock.recv(1)
@@ -386,56 +395,56 @@
         return self.read()
 
 
-def until(fits: Callable[[], object]) -> None:
-    """Wait for what must happen."""
+def until(condition: Callable[[], object]) -> None:
+    """Wait until a condition is met, for `WAIT` seconds at most."""
     end = time.monotonic() + WAIT
-    while not fits():
-        assert time.monotonic() < end, "it did not happen in time"
+    while not condition():
+        assert time.monotonic() < end, f"condition not met within {WAIT} s"
         threading.Event().wait(0.005)
 
 
-def wait_for(fits: Callable[[], object]) -> bool:
-    """Whether it happens within five seconds."""
+def wait_for(condition: Callable[[], object]) -> bool:
+    """Wait until a condition is met; returns whether it is met within five seconds."""
     end = time.monotonic() + 5
     while time.monotonic() < end:
-        if fits():
+        if condition():
             return True
         threading.Event().wait(0.01)
     return False
 
 
-def wait_any(boxes: Sequence[ScriptedBox], fits: Callable[[ScriptedBox], object]) -> bool:
-    """Whether it happens at one of these nodes within five seconds."""
+def wait_any(nodes: Sequence[ScriptedNode], condition: Callable[[ScriptedNode], object]) -> bool:
+    """Wait until one of these nodes meets a condition; returns whether one does within five seconds."""
     end = time.monotonic() + 5
     while time.monotonic() < end:
-        for box in boxes:
-            if fits(box):
+        for node in nodes:
+            if condition(node):
                 return True
-            with box.changed:
-                box.changed.wait(0.02)
+            with node.changed:
+                node.changed.wait(0.02)
     return False
 
 
 def unresponsive(call: Call) -> None:
-    """A script that takes work and never answers; health checks are answered."""
+    """A script that answers health checks, but no other calls."""
     if call.probe:
         call.serve()
 
 
 def warm_up(run: Running) -> None:
-    """Twenty good searches: one slow answer is then not all that is known of a node."""
+    """Run twenty successful searches, so that one slow answer does not dominate what the broker knows of a node."""
     client = Client(run.connect())
     for _ in range(20):
         assert client("POST", SEARCH).status == 200
 
 
 def document_names(answer: Any) -> set[str]:
-    """Names of the documents on a search's page."""
+    """The names of the documents on a search's page."""
     return {hit["_source"]["name"] for hit in answer["hits"]["hits"]}
 
 
 def raw(run: Running, data: bytes) -> bytes:
-    """All that the broker says to these bytes before it closes."""
+    """Send these bytes on a new connection; returns all bytes that the broker sends until it closes."""
     sock = run.connect()
     sock.sendall(data)
     return Client(sock).rest()
--- a/tests/broker/test_client_requests.py
+++ b/tests/broker/test_client_requests.py
@@ -1,4 +1,4 @@
-"""Requests at the sockets, well-formed and not, and clients that are slow, idle or disconnected."""
+"""Valid and malformed requests at the sockets, and clients that are slow, idle or disconnected."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 
 
 def test_a_disconnected_clients_parts_are_cancelled(run: Running) -> None:
-    for box in run.boxes:
-        box.script = unresponsive
+    for node in run.nodes:
+        node.script = unresponsive
     client = Client(run.connect())
     client.ask("POST", SEARCH)
-    for pair in (run.boxes[:2], run.boxes[2:]):
-        assert wait_any(pair, lambda box: len(box.work()) > 0)
+    for pair in (run.nodes[:2], run.nodes[2:]):
+        assert wait_any(pair, lambda node: len(node.work()) > 0)
     client.sock.close()
-    for pair in (run.boxes[:2], run.boxes[2:]):
-        assert wait_any(pair, lambda box: box.closed_seen > 0)
+    for pair in (run.nodes[:2], run.nodes[2:]):
+        assert wait_any(pair, lambda node: node.closed_count > 0)
     assert run.call(lambda: (len(run.service.core.queries), len(run.service.core.attempts))) == (
         0,
         0,
@@ -46,8 +46,13 @@
 def test_pipelined_queries_of_which_one_fails_are_answered_in_order(
     run: Running, client: Client
 ) -> None:
-    bad = {"query": {"nonsense": {}}}
-    for path, body in ((SEARCH, None), (SEARCH, bad), (SEARCH, None), ("/nowhere/_count", None)):
+    invalid = {"query": {"nonsense": {}}}
+    for path, body in (
+        (SEARCH, None),
+        (SEARCH, invalid),
+        (SEARCH, None),
+        ("/nowhere/_count", None),
+    ):
         client.ask("POST", path, body)
     answers = [client.read() for _ in range(4)]
     assert [each.status for each in answers] == [200, 400, 200, 404]
@@ -74,7 +79,7 @@
                     answer["hits"]["hits"][0]["_source"]["pad"] = "x" * (16 << 20)
             call.reply({"responses": answers})
 
-        run.boxes[0].script = large
+        run.nodes[0].script = large
         warm_up(run)
         slow = Client(run.connect())
         slow.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
@@ -178,17 +183,17 @@
     with broker(tmp_path, [0], shards=1) as run:
         object.__setattr__(run.service.server.limits, "first_byte", 0.2)
         object.__setattr__(run.service.server.limits, "body_time", 0.2)
-        silent_one = Client(run.connect())
+        idle_client = Client(run.connect())
         warm_up(run)
         slow = Client(run.connect())
         slow.sock.sendall(b"POST /_search HTTP/1.1\r\nhost: x\r\ncontent-le")
         assert slow.rest().startswith(b"HTTP/1.1 408")
-        assert silent_one.rest() == b""
+        assert idle_client.rest() == b""
 
 
 def test_bulk_answers_keep_their_order_over_shards(run: Running, client: Client) -> None:
-    for box in run.boxes:
-        box.script = lambda call: (
+    for node in run.nodes:
+        node.script = lambda call: (
             call.reply(
                 {
                     "items": [
--- a/tests/broker/test_metrics_text.py
+++ b/tests/broker/test_metrics_text.py
@@ -1,4 +1,4 @@
-"""Names, types and help texts of all metrics are the recorded ones: dashboards hold them."""
+"""The names, types and help texts of all metrics must stay as recorded, as dashboards depend on them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def broker_url(tmp_path: Path) -> Iterator[str]:
-    """A broker with every block that brings metrics of its own."""
+    """The URL of a broker whose settings have every block that adds metrics."""
     fleet = Fleet.plan(tmp_path, 1, 3, 100, cells=3, work_ms=0.5, with_peers=True)
     fleet.settings = {"admission": "  enabled = true"}
     broker = fleet.brokers[0]
--- a/tests/graphql/test_hard_cases.py
+++ b/tests/graphql/test_hard_cases.py
@@ -52,7 +52,7 @@
 
 
 def work(run: Running) -> int:
-    return sum(len(box.work()) for box in run.boxes)
+    return sum(len(box.work()) for box in run.nodes)
 
 
 def test_500_keys_30_unknown_one_shard_down(run: Running, graph: Graph) -> None:
@@ -60,8 +60,8 @@
     keys = [name for shard in range(4) for name in ids_of_shard(run, shard, 118 if shard else 116)]
     unknown = [name for shard in (0, 1, 2) for name in ids_of_shard(run, shard, 10, "unknown")]
     assert len(keys) + len(unknown) == 500
-    run.boxes[3].script = silent
-    before = [len(box.work()) for box in run.boxes]
+    run.nodes[3].script = silent
+    before = [len(box.work()) for box in run.nodes]
     answer = graph(
         "query($k: [_Any!]!){_entities(representations: $k){... on Report{id title}}}",
         {"k": [{"__typename": "Report", "id": name} for name in keys + unknown]},
@@ -78,7 +78,7 @@
     assert coverage(answer) == {("_entities", "Report"): (4, 3, False)}
     assert answer.body["extensions"]["coverage"][0]["missing"] == [{"index": "reports", "shard": 3}]
     assert answer.body["extensions"]["cost"] == 4
-    assert [len(box.work()) - old for box, old in zip(run.boxes[:3], before[:3], strict=True)] == [
+    assert [len(box.work()) - old for box, old in zip(run.nodes[:3], before[:3], strict=True)] == [
         1,
         1,
         1,
@@ -87,7 +87,7 @@
 
 def test_one_field_whole_one_partial_one_refused(run: Running, graph: Graph) -> None:
     """The search's class takes three shards of four; a document of the silent shard is refused; another is there."""
-    run.boxes[3].script = silent
+    run.nodes[3].script = silent
     (here,), (gone,) = ids_of_shard(run, 0, 1), ids_of_shard(run, 3, 1)
     answer = graph(
         f'{{ whole: report(id: "{here}") {{ id }} refused: report(id: "{gone}") {{ id }}'
@@ -123,7 +123,7 @@
             responses.append(answer)
         return call.reply({"took": 0, "responses": responses})
 
-    for box in run.boxes:
+    for box in run.nodes:
         box.script = players_of
     answer = graph(
         "query($k: [_Any!]!){_entities(representations: $k){... on Report{title}}}",
@@ -140,7 +140,7 @@
 
 
 def test_counts_from_some_shards_are_errors_and_not_numbers(run: Running, graph: Graph) -> None:
-    run.boxes[2].script = silent
+    run.nodes[2].script = silent
     answer = graph(
         "query($k: [_Any!]!){_entities(representations: $k){... on Club{name reportCount bestRating}}}",
         {"k": [{"__typename": "Club", "name": "a"}]},
@@ -159,7 +159,7 @@
     """All fields are called off: nothing more is sent, and nothing is held for it."""
     for _ in range(10):
         graph.data(READ)  # something good is heard of all boxes
-    for box in run.boxes:
+    for box in run.nodes:
         box.script = silent
     graph.send('{a: reports{nodes{id}} b: reports(search: "x"){nodes{id}} c: report(id: "k1"){id}}')
     until(lambda: run.call(lambda: len(run.service.core.queries)) == 3)
@@ -167,10 +167,10 @@
     until(lambda: run.call(lambda: len(run.service.core.queries)) == 0)
     assert run.call(lambda: len(run.service.core.attempts)) == 0
     sent = work(run)
-    for box in run.boxes:
+    for box in run.nodes:
         box.script = Call.serve
     assert Graph.at(run).data(READ)["reports"]["nodes"]
-    asked = [call for box in run.boxes for call in box.work()][sent:]
+    asked = [call for box in run.nodes for call in box.work()][sent:]
     assert all("k1" not in call.body.decode() for call in asked)
 
 
@@ -185,26 +185,26 @@
             gate.wait(5)
         call.serve()
 
-    run.boxes[0].script = held
+    run.nodes[0].script = held
     graph.send(CREATE.format(a=first, b=second))
-    run.boxes[0].wait(lambda box: any(call.write for call in box.calls))
+    run.nodes[0].wait(lambda box: any(call.write for call in box.calls))
     graph.client.sock.close()
     until(lambda: run.call(lambda: len(run.service.core.queries)) == 0)
     gate.set()
     assert Graph.at(run).data(READ)["reports"]["nodes"]
-    assert not any(call.write for call in run.boxes[1].calls)
+    assert not any(call.write for call in run.nodes[1].calls)
 
 
 def test_a_deadline_shorter_than_the_first_step(run: Running, graph: Graph) -> None:
     """The one final answer comes within the client's time, and no part leaves after it."""
-    for box in run.boxes:
+    for box in run.nodes:
         box.script = silent
     begun = time.monotonic()
     answer = graph("{reports{nodes{id}}}", headers="x-timeout: 500ms\r\n")
     assert time.monotonic() - begun < 0.5
     assert answer.status == 200 and answer.body["data"] == {"reports": None}
     assert codes(answer)[0][1] in ("REQUEST_RATE_LIMITED", "SHARDS_UNAVAILABLE")
-    assert graph.client.silent_for(0.6)
+    assert graph.client.receives_nothing_for(0.6)
     assert Graph.at(run)("{__typename}", headers="x-timeout: 0ms\r\n").status == 400
 
 
@@ -220,12 +220,12 @@
         else:
             call.serve()
 
-    run.boxes[0].script = lose
+    run.nodes[0].script = lose
     answer = graph(CREATE.format(a=first, b=second))
     assert answer.body["data"]["a"] is None and answer.body["data"]["b"]["id"] == second
     assert codes(answer) == [(("a",), "OUTCOME_UNKNOWN")]
     assert answer.body["errors"][0]["extensions"]["repeatable"] is False
-    assert len([call for call in run.boxes[0].calls if call.write]) == 1
+    assert len([call for call in run.nodes[0].calls if call.write]) == 1
 
 
 def test_a_keyed_write_whose_reply_is_lost_is_repeated_with_the_same_token(tmp_path: Path) -> None:
@@ -239,10 +239,10 @@
             else:
                 call.serve()
 
-        for box in run.boxes:
+        for box in run.nodes:
             box.script = lose_once
         answer = Graph.at(run)('mutation{indexReport(id: "k", document: {title: "x"}){result}}')
-        tokens = [call.token for box in run.boxes for call in box.calls if call.write]
+        tokens = [call.token for box in run.nodes for call in box.calls if call.write]
         assert answer.body["data"]["indexReport"] == {"result": "created"}
         assert len(tokens) == 2 and len(set(tokens)) == 1
 
@@ -336,7 +336,7 @@
             gate.wait(5)
         call.serve()
 
-    for box in run.boxes:
+    for box in run.nodes:
         box.script = held
     graph.send(READ)
     until(lambda: work(run) > 0)
@@ -410,7 +410,7 @@
         else:
             call.reset()
 
-    run.boxes[1].script = no_documents
+    run.nodes[1].script = no_documents
     answer = graph(
         "{reports(first: 9){totalCount edges{cursor node{id title}}}}", headers="x-timeout: 1s\r\n"
     )
@@ -461,7 +461,7 @@
             }
         )
 
-    run.boxes[0].script = odd
+    run.nodes[0].script = odd
     answer = graph("{reports(first: 1){nodes{id title rating game}}}")
     assert answer.body["data"]["reports"]["nodes"] == [
         {"id": "s0", "title": None, "rating": None, "game": "go"}
@@ -482,7 +482,7 @@
     run: Running, graph: Graph, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("stepknot.broker.service.IN_FLIGHT_GRACE", 0.1)
-    for box in run.boxes:
+    for box in run.nodes:
         box.script = silent
     graph.send('{a: reports{nodes{id}} b: report(id: "k"){id}}')
     until(lambda: run.call(lambda: len(run.service.core.queries)) == 2)
@@ -505,7 +505,7 @@
         }
         return call.reply(answer)
 
-    run.boxes[0].script = refuses
+    run.nodes[0].script = refuses
     (first,), (second,) = ids_of_shard(run, 0, 1), ids_of_shard(run, 1, 1)
     answer = graph(CREATE.format(a=first, b=second))
     assert answer.body["data"]["a"] is None and answer.body["data"]["b"]["result"] == "created"
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -253,7 +253,7 @@
             client.sock.sendall(found.request())
             assert client.read().status == 200
         assert (
-            sum(client.silent_for(0.001) for client in stayers[10:]) == 10
+            sum(client.receives_nothing_for(0.001) for client in stayers[10:]) == 10
         )  # the latest to ask are still there
 
 
@@ -295,7 +295,7 @@
         for client in clients:
             client.sock.sendall(found.request("list", (0, 1)))
         assert {client.read().status for client in clients} <= {200, 503}
-        assert all(client.silent_for(0.001) for client in clients)
+        assert all(client.receives_nothing_for(0.001) for client in clients)
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/world.py
+++ b/tests/platform/world.py
@@ -14,7 +14,15 @@
 
 from stepknot.platform.config import Config, parse_config
 from stepknot.platform.service import Service
-from tests.broker.scripted import Answer, Client, Listening, OnThread, halt, turning, until
+from tests.broker.scripted import (
+    Answer,
+    BrokerOnThread,
+    Client,
+    ListeningServer,
+    start_loop_thread,
+    stop_broker,
+    until,
+)
 
 Script = Callable[["Call"], None]
 
@@ -124,7 +132,7 @@
     return frame("Y", f"{part} {end} {score} {report}\n{value}".encode())
 
 
-class Node(Listening):
+class Node(ListeningServer):
     """Each call runs the script in force when it came."""
 
     def __init__(self, script: Script = Call.answer) -> None:
@@ -138,7 +146,7 @@
         self.ended = 0  # connections that the broker ended
         super().__init__()
 
-    def converse(self, sock: socket.socket) -> None:
+    def serve_connection(self, sock: socket.socket) -> None:
         data = b""
         try:
             while chunk := sock.recv(65536):
@@ -170,7 +178,7 @@
             self.script(call)
 
 
-class Discovery(Listening):
+class Discovery(ListeningServer):
     """Serves the list to watches. `mood`: serve, refuse (a 503), silent (accepts and says nothing), half (a line that
     goes on and never ends), beats (empty lines after the list), empty (those alone), lost (resets the call).
     """
@@ -184,7 +192,7 @@
         self.watches: list[socket.socket] = []
         super().__init__(port)
 
-    def converse(self, sock: socket.socket) -> None:
+    def serve_connection(self, sock: socket.socket) -> None:
         data = b""
         while b"\r\n\r\n" not in data:
             chunk = sock.recv(65536)
@@ -234,7 +242,7 @@
 
 
 @dataclass
-class World(OnThread):
+class World(BrokerOnThread):
     service: Service
     nodes: list[Node]
     discovery: Discovery
@@ -364,12 +372,12 @@
         lambda event, **fields: logged.append((event, fields)),
         lambda: parse_config(orjson.dumps(given), "test"),
     )
-    thread = turning(service)
+    thread = start_loop_thread(service)
     found = World(service, stand_ins, discovery, config, given, thread, logged)
     try:
         yield found
     finally:
-        halt(service, thread, (*stand_ins, discovery))
+        stop_broker(service, thread, (*stand_ins, discovery))
         assert not found.events("task_failed"), found.events("task_failed")
 
 
