--- a/stepknot/broker/admin/lease_commands.py
+++ b/stepknot/broker/admin/lease_commands.py
@@ -60,7 +60,7 @@
     def _order(self, job: str, number: str, body: bytes) -> Coroutine:
         """Wait until the order is in the ledger, or rejected."""
         node, key = self.leases.node, number[:MAX_NUMBER_CHARACTERS]
-        problems: list[str] = []  # finally one entry: why the order was rejected, "" if it was accepted
+        problems: list[str] = []  # at the end one entry, which is "" if the order was accepted
 
         def submit(now: float) -> None:
             try:
--- a/stepknot/broker/aggregator_timers.py
+++ b/stepknot/broker/aggregator_timers.py
@@ -14,7 +14,7 @@
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
-        self.heap: list[tuple[float, int]] = []  # due time by the loop's clock, and the timer's token
+        self.heap: list[tuple[float, int]] = []  # due time by the loop's clock, and token
         self.armed_for = math.inf  # due time of the loop's timer, inf if it is not set
 
     def add(self, action: api.SetTimer) -> None:
--- a/stepknot/broker/core.py
+++ b/stepknot/broker/core.py
@@ -75,7 +75,7 @@
         self.aggregator = Aggregator(settings, seed, zones.narrow if zones is not None else None)
         self.decide: Callable[[float, list[api.Event]], list[api.Action]] = self.aggregator.handle
         self.decide_time = 0.0  # seconds spent in the decision module
-        self.pending_events: list[api.Event] = []  # events for the decision module at the end of this iteration
+        self.pending_events: list[api.Event] = []  # events for the decision module
         self.outgoing: dict[str, list[Attempt]] = {}  # attempts started in this iteration, by node
         self.queries: dict[int, Query] = {}
         self.parts: dict[int, tuple[Query, QueryPart]] = {}
@@ -191,9 +191,7 @@
             self.post(api.QueryGone(query.query_id))
             may_have_run = any(part.attempts for part in query.parts)
             is_safe = self.settings.classes[query.class_name].effect is api.Effect.SAFE
-            status = (
-                QueryStatus.REFUSED if is_safe or not may_have_run else QueryStatus.FAILED
-            )
+            status = QueryStatus.REFUSED if is_safe or not may_have_run else QueryStatus.FAILED
             self._finish(query, QueryResult(status))
 
     # --- the endpoint list
--- a/stepknot/broker/descriptor_budgets.py
+++ b/stepknot/broker/descriptor_budgets.py
@@ -9,7 +9,7 @@
 from stepknot.admission.descriptors import DescriptorBudget, allocate_descriptors
 from stepknot.admission.model import AdmissionSettings
 
-MAX_DESCRIPTORS = 200_000  # a broker cannot serve more connections, even if its descriptor limit is higher
+MAX_DESCRIPTORS = 200_000  # higher limits count as this one: a broker cannot serve more connections
 
 
 def find_budgets(
--- a/stepknot/broker/index_catalog.py
+++ b/stepknot/broker/index_catalog.py
@@ -30,7 +30,7 @@
 from stepknot.nodes.exchange import Exchange
 from stepknot.search.errors import RequestError
 
-CACHE_SECONDS = 2.0  # how long a node's answer about an index is cached, also that the index does not exist
+CACHE_SECONDS = 2.0  # how long a node's answer is cached, also if the index does not exist
 MAX_NODES_ASKED = 3  # nodes that are asked one after the other for an index that is not cached
 ASK_TIMEOUT = 0.5  # seconds for each of these nodes to answer
 CHANGE_TIMEOUT = 5.0  # seconds for each node to confirm a change
--- a/stepknot/broker/lease_driver.py
+++ b/stepknot/broker/lease_driver.py
@@ -34,7 +34,7 @@
 from stepknot.net.loop import Loop
 
 TICK_FRACTION = 0.05  # seconds between two ticks, as a fraction of the lease
-MAX_HELD_REPLIES = 1000  # replies that wait for the disk; further replies are dropped, like lost datagrams
+MAX_HELD_REPLIES = 1000  # replies that wait for the disk; further replies are dropped
 BIRTH_MASK = 2**62 - 1
 Log = Callable[..., None]
 
@@ -234,7 +234,7 @@
     def _on_saved(self, number: int, error: str) -> None:
         """Store the result of a save and wake the loop. Called on the writer's thread."""
         self._save_results.append(SaveResult(number, error))
-        with contextlib.suppress(OSError):  # if this datagram fails, that of the next save wakes the loop
+        with contextlib.suppress(OSError):  # the datagram of the next save wakes the loop as well
             self._save_signal.sendto(b"", self._save_inbox.address)
 
     def _on_save_signal(self, source: object, data: bytes) -> None:
--- a/stepknot/broker/membership_view.py
+++ b/stepknot/broker/membership_view.py
@@ -46,7 +46,7 @@
     is_isolated: bool = msgspec.field(name="isolated")
     isolation_reason: str = msgspec.field(name="isolated_why")
     lost_name_conflict: bool = msgspec.field(name="stepped_aside")
-    last_stall: float = msgspec.field(name="stood_still")  # seconds of the last pause of the process
+    last_stall: float = msgspec.field(name="stood_still")  # seconds of the process's last pause
     live: int
     suspect: int
     lower_bound: int = msgspec.field(name="at_least")  # bounds of the number of brokers
--- a/tests/broker/scripted.py
+++ b/tests/broker/scripted.py
@@ -235,9 +235,7 @@
     return thread
 
 
-def stop_broker(
-    service: Any, thread: threading.Thread, servers: Sequence[ListeningServer]
-) -> None:
+def stop_broker(service: Any, thread: threading.Thread, servers: Sequence[ListeningServer]) -> None:
     service.loop.call_at(0.0, service.loop.stop)
     service.loop.network.wake()
     thread.join(WAIT)
