--- a/bench/trace_packages/broker.py
+++ b/bench/trace_packages/broker.py
@@ -16,6 +16,7 @@
 import orjson
 
 from bench.trace_packages.trace import Trace
+from bench.trace_packages.zones import recorded_reason
 from stepknot import interface as api
 from stepknot.broker.client_query import ClientInfo
 from stepknot.broker.core import Core, CoreOptions
@@ -150,9 +151,14 @@
 
 
 def log_to(trace: Trace) -> Callable[..., None]:
-    """A log function that adds the values of events' fields to the trace, without the names."""
+    """A log function that adds the values of events' fields to the trace, without the names.
 
-    def log(_event: str, **fields: Any) -> None:
+    Reasons of zones' changes are added with the texts that the recorded digest contains.
+    """
+
+    def log(event: str, **fields: Any) -> None:
+        if event == "zone_state_changed":
+            fields["reason"] = recorded_reason(fields["reason"])
         trace.add(*(value for value in fields.values() if not isinstance(value, BaseException)))
 
     return log
