--- a/tests/platform/test_nodes.py
+++ b/tests/platform/test_nodes.py
@@ -350,7 +350,11 @@
         found.call(ask)
         until(lambda: ended == [(Outcome.TIMED_OUT, {})])
         found.nodes[0].on_probe = lambda sock: sock.sendall(frame("T", b"inflight=1"))
-        found.call(ask)  # on another connection: this one said nothing to the first
+        # The connection counts as unresponsive once its time-out has passed since the probe was written, which is just
+        # after the probe was started. A probe that is sent before that waits for the same answer and times out.
+        (first_connection,) = nodes.pool.nodes["s-0"].connections
+        until(lambda: found.call(lambda: first_connection.is_unresponsive))
+        found.call(ask)  # on another connection
         until(lambda: len(ended) == 2)
         assert ended == [(Outcome.TIMED_OUT, {}), (Outcome.SERVED, {"inflight": 1.0})]
         assert len(found.nodes[0].socks) == 2
