--- a/bench/trace_packages/subsets.py
+++ b/bench/trace_packages/subsets.py
@@ -65,8 +65,8 @@
 RECORDED_PROBLEMS = (
     (r"expected at most (\d+) nodes, not \d+", r"expected \1 at the most"),
     (r"expected each address once, but (\S+) is listed twice", r"\1 is listed twice"),
-    (r"expected a JSON object with a list boxes: (.*)", r"expected a JSON list of boxes: \1"),
-    (r"(.*): boxes is not a list", r"\1: boxes is no list"),
+    (r'expected a JSON object with the list "boxes": (.*)', r"expected a JSON list of boxes: \1"),
+    (r'(.*): "boxes" is not a list', r"\1: boxes is no list"),
     (r"expected an object, not \w+", r"expected an object"),
     (r"unknown key (\w+); expected keys among (.*)", r"unknown key \1; known: \2"),
     (
--- a/stepknot/admission/connection_slots.py
+++ b/stepknot/admission/connection_slots.py
@@ -15,7 +15,7 @@
 from stepknot.admission.ranked_counter import RankedCounter
 
 HALF_FULL = 0.5  # fraction of slots in use above which the keep-alive time is shortened
-# Number of addresses, those with the most connections, searched for an idle connection.
+# Maximum number of addresses, in descending order of their connections, that are searched for an idle connection.
 MAX_EVICTION_CANDIDATES = 16
 # An idle connection of the same trust level is evicted only if its address has at least this many connections more.
 MIN_EVICTION_DIFFERENCE = 2
@@ -123,7 +123,8 @@
     def find_evictable(self, new_connection: TrackedConnection) -> TrackedConnection | None:
         """Return the idle connection that a new connection may evict, or None.
 
-        It has a lower trust level, or the same level and an address with at least two connections more.
+        Either its trust level is lower than that of the new connection, or both have the same level and its address has
+        at least `MIN_EVICTION_DIFFERENCE` connections more than the address of the new connection.
         """
         own = self.by_address[new_connection.address]
         for rank, address in enumerate(self.by_address.descending()):
--- a/stepknot/admission/controller.py
+++ b/stepknot/admission/controller.py
@@ -105,9 +105,15 @@
         return Verdict(Placement.REJECTED, RejectReason.DESCRIPTORS, RETRY_AFTER)
 
     def on_first_request(self, now: float, number: int, api_key: str) -> Verdict:
-        """Decide again when the first request arrives with the API key of this name, or "" for none.
+        """Decide again on a connection when its first request arrives.
 
-        A key admits a connection that exceeded a limit or the rate, but not one from a banned address.
+        With an API key, a connection that exceeded a connection limit or the maximum rate of new connections can get a
+        slot after all; a connection from a banned address cannot.
+
+        Args:
+            now: Time in seconds.
+            number: The number of the connection.
+            api_key: The name of the API key in the request; "" for none.
         """
         connection = self.connections[number]
         if not api_key or api_key == connection.api_key:
--- a/stepknot/admission/waiting_queue.py
+++ b/stepknot/admission/waiting_queue.py
@@ -1,4 +1,4 @@
-"""The waiting queue: holds connections over a limit until their first request arrives and can be answered."""
+"""The waiting queue: holds connections that exceeded a limit until their first request arrives and can be answered."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 
 class WaitingQueue:
-    """A bounded queue; when it is full, the address with the most places loses its oldest one. Invariant 1."""
+    """A bounded queue of connections; invariant 1.
+
+    When it is full, a new connection can evict the oldest connection of the address with the most connections in the
+    queue.
+    """
 
     def __init__(self, settings: AdmissionSettings) -> None:
         self.settings = settings
@@ -23,13 +27,14 @@
         return len(self._numbers)
 
     def is_full(self) -> bool:
-        """Return whether there is no place for one more connection."""
+        """Return whether the queue has its maximum number of connections."""
         return len(self._numbers) >= self.settings.lane
 
     def find_evictable(self, address: Address) -> TrackedConnection | None:
         """Return the connection that a new one of `address` may evict, or None.
 
-        It is the oldest one of the address with the most places, if that address has more places than `address`.
+        It is the oldest connection of the address with the most connections in the queue, provided that this address
+        has more of them than `address`.
         """
         heaviest = next(self._counts.descending(), None)
         if heaviest is None or self._counts[heaviest] <= self._counts[address]:
--- a/stepknot/broker/admin/routes.py
+++ b/stepknot/broker/admin/routes.py
@@ -59,7 +59,7 @@
     # --- paths
 
     def add_view(self, path: str, subsystem: ViewableSubsystem) -> None:
-        """Answer requests for this path with a subsystem's view."""
+        """Register a handler that answers requests for this path with a subsystem's view."""
 
         def show(_request: Request) -> Coroutine:
             yield from ()
@@ -70,11 +70,11 @@
         self.routes[path] = show
 
     def add_command(self, path: str, route: Route) -> None:
-        """Answer requests for this path with a subsystem's command."""
+        """Register the handler of a subsystem's command for requests for this path."""
         self.routes[path] = route
 
     def add_zones(self, zones: ZoneFailover, core: Core) -> None:
-        """Answer requests for `/zones` with the states of all zones."""
+        """Register a handler that answers requests for `/zones` with the states of all zones."""
 
         def show(_request: Request) -> Coroutine:
             yield from ()
@@ -83,7 +83,7 @@
         self.routes["/zones"] = show
 
     def add_subsets(self, subsets: ViewableSubsets) -> None:
-        """Answer requests for `/subset` with the subset's state.
+        """Register a handler that answers requests for `/subset` with the subset's state.
 
         `?held=1` adds the nodes in use; `?why=NODE` adds why this node is, or is not, in use.
         """
--- a/stepknot/broker/admission_gate.py
+++ b/stepknot/broker/admission_gate.py
@@ -110,7 +110,7 @@
         """
         self.accepted += 1
         number, address = self.accepted, self._peers.address(peer)
-        if address in self._peers.trusted:  # decided on once it sends its client's address
+        if address in self._peers.trusted:  # the client is decided on once its address is known
             verdict = self.admission.on_proxy_connection(self.loop.now, number, address)
         else:
             verdict = self.admission.on_connection(self.loop.now, number, address)
--- a/stepknot/broker/admission_list_file.py
+++ b/stepknot/broker/admission_list_file.py
@@ -12,18 +12,18 @@
 
 
 class AdmissionListFile:
-    """The file with the snapshot of the lists.
+    """Saves the lists of banned and allowed networks to a snapshot file, and loads them from it.
 
     Args:
-        path: The path of the file; "" for no file: the lists are then lost at a restart.
-        log: Writes the log event of a snapshot that cannot be read.
+        path: The path of the file; "" for no file, in which case the lists are lost at a restart.
+        log: Writes a log event, given its name and fields; called if the snapshot cannot be read.
     """
 
     def __init__(self, path: str, log: Callable[..., None]) -> None:
         self.path, self.log = path, log
 
     def load(self) -> AccessLists:
-        """Load the lists. If the snapshot is damaged, it is logged and moved aside, and the lists are empty."""
+        """Load the lists; they are empty if the snapshot cannot be read, which is then logged and moved aside."""
         if not self.path:
             return AccessLists()
         try:
--- a/stepknot/broker/admission_rejections.py
+++ b/stepknot/broker/admission_rejections.py
@@ -57,7 +57,7 @@
         self._counts: Counter[str] = Counter()  # rejections in this second, by reason
 
     def record(self, verdict: Verdict) -> None:
-        """Count a rejection, and log it if it is one of the first with its reason in this second."""
+        """Count a rejection; log the first `MAX_EVENTS_PER_SECOND` rejections of each second for each reason."""
         second = int(self._loop.now)
         if second != self._second:
             self._log_suppressed()
--- a/stepknot/broker/membership_driver.py
+++ b/stepknot/broker/membership_driver.py
@@ -117,7 +117,7 @@
     # --- for operators
 
     def view(self) -> dict[str, Any]:
-        """The admin answer for `stepknot peers`: a `PeersView` as plain JSON values."""
+        """The admin answer for `stepknot members`: a `PeersView` as plain JSON values."""
         view: dict[str, Any] = msgspec.to_builtins(peers_view(self.protocol, self.loop.clock()))
         return view
 
--- a/stepknot/broker/membership_view.py
+++ b/stepknot/broker/membership_view.py
@@ -1,4 +1,7 @@
-"""Membership for operators: the admin answer for `stepknot peers`, and the metrics. Keys and labels must not change."""
+"""Membership for operators: the admin answer for `stepknot members`, and the metrics.
+
+The keys of the answer and the labels of the metrics must not change.
+"""
 
 from __future__ import annotations
 
--- a/stepknot/broker/rolling_drains.py
+++ b/stepknot/broker/rolling_drains.py
@@ -93,7 +93,10 @@
         )
 
     def on_lease_acquired(self, now: float, value: bytes) -> None:
-        """Schedule the first step. A new holder does not know when the last step was, so it waits as after a step."""
+        """Schedule the first step.
+
+        A new holder does not know when the previous holder made its last step, so it waits as long as after a step.
+        """
         state = rolling_drains.decode_state(value)
         self._next_step_at = now + rolling_drains.seconds_until_next_step(state)
 
--- a/stepknot/broker/service.py
+++ b/stepknot/broker/service.py
@@ -40,7 +40,7 @@
 from stepknot.nodes.rest_transport import RestTransport
 from stepknot.zones.failover import ZoneFailover
 
-if TYPE_CHECKING:  # these modules are loaded only if their blocks are configured
+if TYPE_CHECKING:  # the drivers are loaded at run time only if their blocks are configured
     from stepknot.broker.lease_driver import LeaseDriver
     from stepknot.broker.subset_driver import SubsetDriver
 
@@ -229,7 +229,7 @@
     def _make_leases(self, rng: random.Random) -> LeaseDriver | None:
         if self.config.owners is None or self.membership is None:
             return None
-        # These modules are loaded only if leases are configured.
+        # Imported here, so that `lease_driver` and its own imports are loaded only if leases are configured.
         from stepknot.broker.lease_driver import BrokerParts, LeaseDriver
 
         parts = BrokerParts(self.loop, self.membership, self.core, self.endpoints, self.log)
@@ -250,7 +250,7 @@
             routes.add_subsets(self.subsets)
 
     def _add_lease_commands(self, leases: LeaseDriver) -> None:
-        # This module is loaded only if leases are configured.
+        # Imported here, so that `lease_commands` is loaded only if leases are configured.
         from stepknot.broker.admin.lease_commands import LeaseCommands
 
         commands = LeaseCommands(self.loop, leases)
--- a/stepknot/broker/voter_store.py
+++ b/stepknot/broker/voter_store.py
@@ -144,7 +144,7 @@
         """Start the thread, which calls `on_saved` with each save's number and error (empty if it succeeded)."""
         self._store = store
         self._on_saved = on_saved
-        self._next_save: tuple[int, bytes] | None = None  # number, data
+        self._next_save: tuple[int, bytes] | None = None  # number and data of the save that waits
         self._changed = threading.Condition()
         self._is_stopping = False
         self._thread = threading.Thread(target=self._run, name="voter", daemon=True)
--- a/stepknot/broker/waiting_connection.py
+++ b/stepknot/broker/waiting_connection.py
@@ -41,7 +41,10 @@
 
 
 class WaitingConnection:
-    """Reads the first request of a connection over a limit. It is served if it has an API key, otherwise rejected."""
+    """Reads the first request of a connection that exceeded a limit, and admits the connection or rejects the request.
+
+    The connection is admitted only if the request has an API key with which admission control gives it a slot.
+    """
 
     __slots__ = (
         "_data",
--- a/stepknot/decisions/answers.py
+++ b/stepknot/decisions/answers.py
@@ -116,9 +116,8 @@
         reached its floor, or a query that can no longer reach its floor.
         """
         floor = query.query_class.floor - EPSILON
-        is_floor_unreachable = (
-            reachable_weight(query) < floor
-        )  # further work for it would be wasted
+        # Further work for a query that cannot reach its floor would be wasted.
+        is_floor_unreachable = reachable_weight(query) < floor
         is_late_but_enough = query.is_late and served_weight(query) >= floor
         if (
             is_floor_unreachable
--- a/stepknot/decisions/capsule.py
+++ b/stepknot/decisions/capsule.py
@@ -27,15 +27,13 @@
 # waste the work.
 MIN_TIME_LEFT_IN_MEANS = 1.5
 AIM_MARGIN = 0.05  # fraction of `aim` reserved for the way to the client; the base wait is the rest
-INITIAL_MEAN_SHARE = (
-    0.1  # mean response time before any response, as a fraction of the shortest base wait
-)
+# Mean response time before any response, as a fraction of the shortest base wait.
+INITIAL_MEAN_SHARE = 0.1
 SERVER_SAMPLE_WEIGHT = 0.2  # weight of one response in its server's mean
 FLEET_SAMPLE_WEIGHT = 0.05  # weight of one response in the mean of all servers
 HALF_LIFE = 5.0  # seconds without a response after which a mean has half of its weight
-REPORT_WEIGHT = (
-    0.5  # weight of the value in a load report, which may be late, noisy, frozen or wrong
-)
+# Weight of the value in a load report, which may be late, noisy, frozen or wrong.
+REPORT_WEIGHT = 0.5
 MAX_REPORT_AGE_SHARE = 0.5  # maximum age of a load report, as a fraction of the shortest base wait
 
 
--- a/stepknot/decisions/records.py
+++ b/stepknot/decisions/records.py
@@ -48,9 +48,8 @@
     It is kept when the entry is removed: a server that leaves the list and returns gets no new quota.
     """
 
-    draw: float | None = (
-        None  # random number, 0 to 1, that decides on a fraction of a part; drawn once
-    )
+    # Random number, 0 to 1, that decides on a fraction of a part; drawn once.
+    draw: float | None = None
     spent: deque[tuple[float, float]] = field(default_factory=deque)  # time and work of each part
 
 
@@ -94,9 +93,8 @@
     attempts_in_flight: int = 0
     is_served: bool = False
     may_have_run: bool = False  # whether the outcome of an ended attempt leaves this possible
-    may_run_since: float | None = (
-        None  # time of the first send, unless it is known that none has run
-    )
+    # Time of the first send, unless it is known that none has run.
+    may_run_since: float | None = None
 
 
 @dataclass(slots=True, eq=False)
--- a/stepknot/decisions/slow_start.py
+++ b/stepknot/decisions/slow_start.py
@@ -18,9 +18,8 @@
 # Fraction of a cold server's sustainable load that is used. The rest allows for random variation and for
 # parts whose work differs from the estimate.
 COLD_UTILIZATION = 0.8
-WORK_QUANTILE = (
-    0.25  # a part's work is estimated as this quantile of the response times per call in flight
-)
+# A part's work is estimated as this quantile of the response times per call in flight.
+WORK_QUANTILE = 0.25
 WORK_SAMPLE_WEIGHT = SERVER_SAMPLE_WEIGHT / 4  # weight of one response in that estimate
 ALL_CLASSES = ""  # key of the estimate over all classes
 
--- a/stepknot/discovery/endpoint_file.py
+++ b/stepknot/discovery/endpoint_file.py
@@ -162,9 +162,9 @@
     try:
         rows = orjson.loads(text)["boxes"]
         if not isinstance(rows, list):
-            raise TypeError("boxes is not a list")
+            raise TypeError('"boxes" is not a list')
     except (ValueError, KeyError, TypeError) as error:
-        expected = f"expected a JSON object with a list boxes: {error}"
+        expected = f'expected a JSON object with the list "boxes": {error}'
         raise ConfigError([Problem(str(path), 1, "boxes", expected)]) from error
     return rows
 
--- a/stepknot/subsets/cell_selector.py
+++ b/stepknot/subsets/cell_selector.py
@@ -32,7 +32,7 @@
         """
         layout, live_count = self._layout, self._index.live_count
         size = self._settings.size
-        # Not a possible name of a node.
+        # No node has this name, so the dither is independent of the nodes' hashes.
         dither = uniform_hash(self._settings.identity, f"\0cell {number}")
         quotas = [
             quota_for_size(number, live_count, layout.cells, layout.reach, size),
--- a/stepknot/subsets/endpoint_index.py
+++ b/stepknot/subsets/endpoint_index.py
@@ -15,7 +15,7 @@
 from stepknot.subsets.rendezvous import rendezvous_score, uniform_hash
 from stepknot.subsets.selection import tier_of
 
-# Bounds of a node's size, as a multiple of the usual capacity; a size outside of them is replaced by the bound.
+# Bounds of a node's size, as a multiple of the usual capacity; a size outside of them is replaced by the nearer one.
 MIN_NODE_SIZE = 0.01
 MAX_NODE_SIZE = 100.0
 
--- a/stepknot/subsets/list_intake.py
+++ b/stepknot/subsets/list_intake.py
@@ -1,4 +1,4 @@
-"""Watch events that are not in the index yet: unread events, and the newest entries that were read from others.
+"""Watch events that are not in the index yet: unread events, and the newest entries of the events that were read.
 
 Lists are read in slices; the docstring of `subset` explains the sliced work.
 """
@@ -89,7 +89,7 @@
         return read
 
     def newest_of(self, entries: Iterable[ServerEntry]) -> list[ServerEntry]:
-        """Return the pending entries of these entries' servers, without servers that have none."""
+        """Return the pending entry of each server in `entries` that has one."""
         if self.pending is None:
             return []
         newest = (self.pending.entry_of(entry) for entry in entries)
--- a/stepknot/subsets/selection.py
+++ b/stepknot/subsets/selection.py
@@ -20,9 +20,12 @@
 def select_warm(
     ranked: Sequence[ServerEntry], quota: int, tier: Callable[[str], int]
 ) -> list[ServerEntry]:
-    """Return the first `quota` warm nodes by rank, including one of the nearest tier (S3) and nodes of two zones (S2).
+    """Return the first `quota` warm nodes by rank, with the replacements that invariants S3 and S2 require.
 
-    If the first nodes do not satisfy this, the last of them is replaced by the highest ranked other node that does.
+    - S3: If none of these nodes is of the nearest tier in `ranked`, the last one is replaced by the highest ranked node
+      of that tier.
+    - S2: If there are several nodes and all of them are then in the same zone, the last one is replaced by the highest
+      ranked node of another zone, if there is one.
     """
     selected = list(ranked[:quota])
     rest = ranked[quota:]
--- a/stepknot/subsets/slow_start.py
+++ b/stepknot/subsets/slow_start.py
@@ -47,7 +47,10 @@
     divisor: float
 
     def is_eligible(self, uniform: float) -> bool:
-        """Return whether a broker with this `uniform_hash` for the node may send to it: high hashes are eligible."""
+        """Return whether a broker may send to the node, given the `uniform_hash` of the broker's and the node's names.
+
+        It may if the hash is in the highest `fraction` of its range.
+        """
         return uniform > 1.0 - self.fraction
 
 
--- a/stepknot/zones/evidence.py
+++ b/stepknot/zones/evidence.py
@@ -44,7 +44,7 @@
         self._failed_at[server] = now
 
     def reset(self, now: float) -> None:
-        """Start again at the beginning of a recovery, with the served trial as the only sample."""
+        """Discard the evidence when a recovery begins; the served trial that began it becomes the only sample."""
         self._served = DecayingSum(EVIDENCE_HALF_LIFE, 1.0, now)
         self._failed = DecayingSum(EVIDENCE_HALF_LIFE, 0.0, now)
         self._failed_at = {}
--- a/stepknot/zones/limits.py
+++ b/stepknot/zones/limits.py
@@ -50,7 +50,7 @@
         return zone.baseline.rate(estimate)
 
     def spill_over_limit(self, now: float, name: str) -> float:
-        """Return the maximum rate of a healthy zone while another is not healthy; invariant 1."""
+        """Return the limit on the parts per second sent to a healthy zone while another is not healthy; invariant 1."""
         baseline = self.baseline(now, name)
         largest_query = self._demand.largest_query
         uncertainty = self._zones[name].baseline.uncertainty(baseline, largest_query)
