--- a/bench/trace_packages/leases.py
+++ b/bench/trace_packages/leases.py
@@ -38,7 +38,9 @@
     ),
     (re.compile("the broker is shutting down"), "told to stop"),
     (
-        re.compile(r"(\w+) holds a later record than the one that this epoch continues from"),
+        re.compile(
+            r"(\w+) holds a later record \(by epoch and step\) than the one that this epoch continues from"
+        ),
         r"\1 holds a later record than this epoch began with",
     ),
 )
--- a/bench/trace_packages/membership.py
+++ b/bench/trace_packages/membership.py
@@ -25,7 +25,7 @@
 RECORDED_TEXTS = (
     (r"^this process started$", "this process"),
     (r"^gossip from (.*)$", r"\1 says so"),
-    (r"^reported by the member itself$", "its own word"),
+    (r"^the member itself reported this state$", "its own word"),
     (r"^no seed other than this member is configured$", "there is no seed to ask"),
     (r"^admitted by the fleet$", "let in"),
     (r"^this process is shutting down$", "told to stop"),
@@ -41,7 +41,8 @@
     (r"^evicted because the table is full$", "no room"),
     (r"^no seed has answered the join request$", "no seed has let it in"),
     (
-        r"^datagrams arrive from (\d+) of (\d+) neighbours, and reach (\d+) of \2 neighbours$",
+        r"^datagrams arrive here from (\d+) of (\d+) neighbours, "
+        r"and this member's own datagrams are known to reach (\d+) of \2 neighbours$",
         r"of \2 neighbours \1 are heard, and \3 hear it",
     ),
     (
@@ -53,8 +54,8 @@
     (r"\breceived by (\w+)", r"\1 heard it"),
     (r"^no sign of life for (\S+) s \(last: (.*)\); ", r"silent for \1 s (last \2); "),
     (r"^no sign of life for (\S+) s \(none before\); ", r"silent for \1 s (never heard); "),
-    (r"; confirmed by no helper$", "; nobody had nothing younger"),
-    (r"; confirmed by (.*)$", r"; \1 had nothing younger"),
+    (r"; absence of a newer sign confirmed by no helper$", "; nobody had nothing younger"),
+    (r"; absence of a newer sign confirmed by (.*)$", r"; \1 had nothing younger"),
 )
 
 
--- a/stepknot/decisions/answers.py
+++ b/stepknot/decisions/answers.py
@@ -41,7 +41,10 @@
 
 
 class AnswerAssembly:
-    """The queries that have no final answer yet."""
+    """Holds each query from its arrival to its final answer, which may also be a rejection or a failure.
+
+    The answer after the first of two steps is not final.
+    """
 
     __slots__ = ("_budget", "_dispatcher", "_throttle", "_timers", "_turn", "queries", "unplaced")
 
--- a/stepknot/decisions/health.py
+++ b/stepknot/decisions/health.py
@@ -30,8 +30,8 @@
 # server that fails fast would otherwise look idle.
 FAILURE_MEMORY_WAITS = 4.0
 MAX_REMEMBERED_ERRORS = 3  # bounds the effect of errors that all servers share on replica selection
-# Or, if that is longer, for this multiple of the time without sends before the last call: a failure must also
-# last until the next send of an instance that sends rarely.
+# A failure counts for this multiple of the time without sends before the last call, if that is longer than
+# `FAILURE_MEMORY_WAITS`: it must also last until the next send of an instance that sends rarely.
 FAILURE_MEMORY_GAPS = 2.0
 # Outcomes of a probe that do not count as a failure of its server.
 HARMLESS_PROBE_ENDS = (Outcome.SERVED, Outcome.REJECTED, Outcome.CANCELLED, Outcome.NOT_SENT)
--- a/stepknot/decisions/hedging.py
+++ b/stepknot/decisions/hedging.py
@@ -51,7 +51,7 @@
         self._failures, self._outliers = failures, outliers
 
     def connect(self, send_again: SendAgain, in_flight: Mapping[AttemptKey, Attempt]) -> None:
-        """Set the function that sends hedges; called before the first event. Hedges are watched, too.
+        """Set the function that sends hedges; called before the first event. Hedges are watched like first attempts.
 
         Args:
             send_again: Sends a part to another replica, if that is allowed.
@@ -93,7 +93,7 @@
             self._send_again(query, part, HEDGE_SHARE)
 
     def _on_no_response(self, capsule: Capsule) -> None:
-        """Hedge the parts at an unresponsive server: after even a short pause they would come too late."""
+        """Hedge the parts at an unresponsive server: their answers would be late after even a short pause."""
         capsule.has_response_timer = False
         if not capsule.calls:
             return
--- a/stepknot/decisions/outlier_detection.py
+++ b/stepknot/decisions/outlier_detection.py
@@ -58,8 +58,9 @@
     def is_unresponsive(self, capsule: Capsule) -> bool:
         """Whether a server is unresponsive.
 
-        A server without calls in flight is no longer treated as unresponsive once the shortest base wait has
-        passed since the last send, so that one more part is sent to it as a trial.
+        An unresponsive server without calls in flight is treated as responsive again once the shortest base
+        wait of all classes has passed since a connection to it was last used. It can then get one more part
+        as a trial.
         """
         now = self._turn.now
         is_in_use = bool(capsule.calls) or now - capsule.last_used_at < self._throttle.base_wait
@@ -181,9 +182,10 @@
         return min((_present_share(each, now, HALF_LIFE) for each in shares.values()), default=0.0)
 
     def should_close_idle_connections(self) -> bool:
-        """Whether idle connections should be closed before a send.
+        """Whether to close a server's idle connections before a send to it, so that the send opens a new one.
 
-        They are kept if new connections fail, too.
+        That is the case if parts are lost much more often on idle connections than on other connections, over
+        all servers. If parts are lost on other connections as often, a new connection would not help.
         """
         now, half_life = self._turn.now, self._idle_half_life
         lost_on_idle = _present_share(self.connections.get(True), now, half_life)
--- a/stepknot/decisions/records.py
+++ b/stepknot/decisions/records.py
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, eq=False)
 class DecayingShare:
-    """A share between 0 and 1 that decays with time."""
+    """A share between 0 and 1 that decays towards 0 with time."""
 
     share: float  # at `updated_at`
     updated_at: float
--- a/stepknot/decisions/retry_budget.py
+++ b/stepknot/decisions/retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget limits further attempts within a time window. Rules: `stepknot/interface.py`."""
+"""The retry budget limits retries and hedges within a time window. Rules: `stepknot/interface.py`."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
     def __init__(self, turn: Turn) -> None:
         self._turn = turn
-        self.arrivals: deque[float] = deque()  # times of queries and parts
-        self.retries: deque[float] = deque()  # times of further attempts
+        self.arrivals: deque[float] = deque()  # when each query or part arrived
+        self.retries: deque[float] = deque()  # when each further attempt (retry or hedge) was sent
 
     def record_arrival(self) -> None:
         """Count a query or a part."""
--- a/stepknot/decisions/turn.py
+++ b/stepknot/decisions/turn.py
@@ -13,10 +13,11 @@
 
 
 class Turn:
-    """The current call of `Aggregator.handle`: its time, its number, and its actions so far.
+    """The current call of `Aggregator.handle`: its time, its number (from 1), and its actions so far.
 
-    It also holds what stays the same over all turns: the settings, the caller's rule for candidates, and the
-    seeded random generator, which is the only source of randomness.
+    Each aggregator has one object of this class, and `begin` prepares it for the next call. The object also
+    holds what all calls use: the settings, the caller's rule for candidates, and the random generator, which
+    is seeded once and is the only source of randomness.
     """
 
     __slots__ = ("actions", "narrow", "now", "number", "random", "settings")
--- a/stepknot/interface.py
+++ b/stepknot/interface.py
@@ -96,7 +96,7 @@
 
     drain_grace: float
     cold_share: float  # minimum share of its capacity that a server has when it starts
-    cold_time: float  # maximum time until a server has its full capacity
+    cold_time: float  # maximum time from a server's start until it has its full capacity
     fall_multiple: float
     fall_time: float
     # Maximum interval between requests for the list while there is no subscription (0: no such rule).
@@ -228,9 +228,9 @@
 
 @dataclass(slots=True)
 class InstancesCounted:
-    """A new upper bound of the number of running instances; it replaces the value of the settings.
+    """A new upper bound of the number of running instances; it replaces `Settings.instances`.
 
-    The event is optional: without it the value of the settings applies.
+    The event is optional: until the first one, `Settings.instances` applies.
     """
 
     instances: int
@@ -265,7 +265,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Cancel an attempt: its answer is of no more use."""
+    """Cancel an attempt, because its answer is no longer needed."""
 
     part_id: int
     attempt: int
--- a/stepknot/leases/candidate.py
+++ b/stepknot/leases/candidate.py
@@ -116,7 +116,11 @@
             self.stop(now, "the lease expired before a majority of voters renewed it")
         if self.phase is Phase.ELECTING and now >= self._election_deadline():
             promised, voters = len(self.election.promises), len(self.settings.voters)
-            self.abandon_election(now, f"{promised} of {voters} voters promised the epoch in time")
+            self.abandon_election(
+                now,
+                f"{promised} of {voters} voters promised the epoch in time; "
+                f"valid promises of {self.settings.quorum_size} are needed",
+            )
         if self.phase is Phase.IDLE and is_own_turn and now >= self.backoff.next_election_at:
             self.start_election(now)
         if self.phase is Phase.ELECTING and now >= self.election.resend_at:
@@ -168,7 +172,7 @@
                 self.take_lease(now)
 
     def take_lease(self, now: float) -> None:
-        """Become the lease holder if a majority promised. The lease runs from before the request was sent."""
+        """Become the lease holder if a majority promised. The lease runs from the start of the election."""
         base = self.election.take_quorum(self.settings)
         if base is None:
             return
@@ -183,11 +187,11 @@
         self.propose(now, base.value)
 
     def join_late_voter(self, now: float, voter: str, promise: Promise) -> None:
-        """Add a voter that promised after the majority, or hand over if this epoch does not follow its record."""
+        """Add a voter that promised after the majority, or hand the job over if the voter holds a later record."""
         if not self.election.is_new_promise(voter, promise):
             return
         if not self.replication.continues_from(promise.record, self.epoch):
-            reason = f"{voter} holds a later record than the one that this epoch continues from"
+            reason = f"{voter} holds a later record (by epoch and step) than the one that this epoch continues from"
             self.hand_over(now, None, reason)
             return
         self.election.promises[voter] = promise
@@ -318,5 +322,5 @@
         return self.election.started_at + ELECTION_TIMEOUT_FRACTION * self.settings.lease_seconds
 
     def _holder_deadline(self, sent_at: float) -> float:
-        """When a lease ends whose request was sent at `sent_at`."""
+        """The time at which a lease ends if its request was sent at `sent_at`."""
         return sent_at + self.settings.holder_lease_seconds
--- a/stepknot/leases/commands.py
+++ b/stepknot/leases/commands.py
@@ -55,7 +55,7 @@
             if command.error is None and now >= max(command.deadline, command.send_at):
                 command.error = (
                     f"no lease holder of {command.job} answered in time; "
-                    "it is unknown whether the command is carried out"
+                    "it is unknown whether the command was or will be carried out"
                 )
 
     def due(self, now: float) -> list[tuple[str, WaitingCommand]]:
--- a/stepknot/leases/messages.py
+++ b/stepknot/leases/messages.py
@@ -47,7 +47,7 @@
 
 
 class PrepareRequest(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """A candidate's request that a voter promise the job to it under this epoch."""
+    """A candidate's request to a voter to promise the job to this candidate under this epoch."""
 
     job: Name
     epoch: Epoch
@@ -120,7 +120,7 @@
 
 
 class HandoverOffer(msgspec.Struct, array_like=True, tag=9, frozen=True):
-    """The offer of a lease holder that stopped: the receiver may become the next holder."""
+    """A former lease holder's offer of the job it has released: the receiver may start an election for it at once."""
 
     job: Name
     epoch: Epoch
--- a/stepknot/leases/node.py
+++ b/stepknot/leases/node.py
@@ -92,7 +92,7 @@
 
     @property
     def counters(self) -> Counter[str]:
-        """Counts of events and dropped datagrams; the names are labels of a metric."""
+        """The number of events and of dropped datagrams, by kind; the kinds are the values of a metric's label."""
         return self._context.counters
 
     # Input
@@ -161,7 +161,7 @@
     # Helpers
 
     def _start(self, now: float) -> None:
-        """On the first call, start the voter and take every job's lease holder as missing from now on."""
+        """On the first call, start the voter and regard every job's lease holder as missing from now on."""
         if self._is_started:
             return
         self._is_started = True
--- a/stepknot/leases/placement.py
+++ b/stepknot/leases/placement.py
@@ -15,5 +15,5 @@
 
 
 def rank_members(job: str, members: Iterable[str]) -> list[str]:
-    """The members, preferred candidate first. A new member becomes first for some jobs; the others keep their first."""
+    """The members, preferred candidate first. A new member comes first for some jobs; other jobs keep theirs."""
     return sorted(members, key=lambda name: (rendezvous_weight(job, name), name), reverse=True)
--- a/stepknot/leases/rolling_drains.py
+++ b/stepknot/leases/rolling_drains.py
@@ -1,8 +1,8 @@
 """The rolling drains job: it drains a zone's nodes a few at a time. Plan and progress are one small ledger record.
 
-A step drains one node, or returns the node to service that has been drained longest. Nodes are drained in the order of
-their addresses, so that none is drained twice and none is left out; a node that joins with an address before the last
-drained one's is not part of the drain. At most `max_drained` nodes are drained at a time.
+A step drains one node, or returns to service the node that has been drained longest. Nodes are drained in the order of
+their addresses, so that none is drained twice and none is left out. A node that joins the zone later is drained only if
+its address follows that of the node drained last. At most `max_drained` nodes are drained at a time.
 """
 
 from __future__ import annotations
@@ -98,19 +98,19 @@
 
 
 def decode_state(value: bytes) -> DrainState:
-    """Decode a ledger record; an empty value is the state before the first command.
+    """Decode the value of a ledger record; an empty value stands for the state before the first command.
 
     Raises:
-        msgspec.DecodeError: The record does not have this version's format.
+        msgspec.DecodeError: The value is not an encoded `DrainState` as this version of the code defines it.
     """
     return _state_decoder.decode(value) if value else DrainState()
 
 
 def encode_state(state: DrainState) -> bytes:
-    """Encode a ledger record.
+    """Encode the state as the value of a ledger record.
 
     Raises:
-        CommandRejectedError: The encoded state is longer than a record may be.
+        CommandRejectedError: The encoded state is longer than `MAX_VALUE_BYTES`.
     """
     value = _state_encoder.encode(state)
     if len(value) > MAX_VALUE_BYTES:
@@ -121,13 +121,15 @@
 
 
 def apply_command(state: DrainState, number: str, body: bytes, nodes: DrainNodes) -> DrainState:
-    """The state after an operator's command; a repeated command changes nothing.
+    """The state after an operator's command.
+
+    A command whose number is among those of the latest `MAX_REMEMBERED_COMMANDS` commands changes nothing.
 
     Args:
         state: The committed state.
-        number: Identifies the command.
+        number: The command's number, which stays the same when the command is sent again.
         body: A `DrainCommand` in JSON.
-        nodes: The endpoint list.
+        nodes: The nodes of the lease holder's endpoint list, by address.
 
     Raises:
         CommandRejectedError: The command is malformed or cannot be carried out now.
@@ -165,7 +167,7 @@
 
     Args:
         state: The committed state.
-        nodes: The endpoint list.
+        nodes: The nodes of the lease holder's endpoint list, by address.
         failing: The fraction of queries that fail at the lease holder.
 
     Returns:
@@ -250,7 +252,7 @@
 
 
 def _restore_first(state: DrainState) -> DrainState:
-    """Return the node to service that has been drained longest."""
+    """Return to service the node that has been drained longest."""
     return _replace(state, drained=state.drained[1:], step_count=state.step_count + 1)
 
 
--- a/stepknot/leases/voter.py
+++ b/stepknot/leases/voter.py
@@ -246,7 +246,7 @@
     # This voter's own recovery
 
     def on_incarnation_reply(self, now: float, sender: ProcessId, reply: IncarnationReply) -> None:
-        """Handle another voter's report of the incarnation of this voter that it knows."""
+        """Handle another voter's report of the newest incarnation of this voter that is known there."""
         if self.recovery is not None:
             self.recovery.record_incarnation(now, sender.name, reply.incarnation)
 
--- a/stepknot/membership/anti_entropy.py
+++ b/stepknot/membership/anti_entropy.py
@@ -16,7 +16,7 @@
 from stepknot.membership.outbox import Outbox
 from stepknot.membership.view import MembershipView
 
-# Periods between two comparisons, because one comparison may use half a second's send rate.
+# Periods between two comparisons. One comparison may use as many bytes as the send rate allows in half a second.
 COMPARE_PERIODS = 4
 RECONNECT_PERIODS = 5  # periods between two contacts with a dead member or an absent seed
 
--- a/stepknot/membership/correlated_failures.py
+++ b/stepknot/membership/correlated_failures.py
@@ -1,4 +1,4 @@
-"""Tells a network partition from member failures by how many members failed at the same time.
+"""Distinguishes network partitions from failures of members, by the number of members that failed at the same time.
 
 From inside a partition, the members on the other side look as if they had crashed. The functions take a table and
 subjects and keep no state. All times are in seconds.
@@ -13,7 +13,7 @@
 from stepknot.membership.subject import Subject
 from stepknot.membership.table import MemberTable
 
-MANY_SHARE = 0.25  # share of the members that must have failed at once to be regarded as many
+MANY_SHARE = 0.25  # share of the present members; more failures at once than this are many
 # Deaths within this multiple of `dead_after` are regarded as one failure.
 RECENT_FACTOR = 4.0
 
@@ -52,8 +52,8 @@
     # A neighbour whose datagrams do not arrive cannot report either that it receives this member.
     if edges and 2 * (receive_me + 1) <= len(edges) + 1:
         return (
-            f"datagrams arrive from {received} of {len(edges)} neighbours, "
-            f"and reach {receive_me} of {len(edges)} neighbours"
+            f"datagrams arrive here from {received} of {len(edges)} neighbours, "
+            f"and this member's own datagrams are known to reach {receive_me} of {len(edges)} neighbours"
         )
     healthy = table.counts[State.ALIVE] + table.counts[State.JOINING]
     failed = count_recent_failures(table, settings, now)
--- a/stepknot/membership/gossip.py
+++ b/stepknot/membership/gossip.py
@@ -1,4 +1,8 @@
-"""The queue of gossip updates. Each changed record is sent in a few rounds, to fewer members if many records change."""
+"""The queue of gossip updates.
+
+Each changed record is sent once in each of several rounds. While many records change, each round goes to only one
+member.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +34,7 @@
         self.rounds_left = {name: rounds}
 
     def update_rate(self, now: float) -> float:
-        """Approximate number of updates in the last second."""
+        """Approximate number of updates that were queued in the last second."""
         return self.decayed_count * math.exp2(self.counted_at - now) if self.decayed_count else 0.0
 
     def fanout(self, now: float, max_fanout: int) -> int:
--- a/stepknot/membership/helper_selection.py
+++ b/stepknot/membership/helper_selection.py
@@ -60,9 +60,10 @@
     def _by_rotation(
         self, names: list[str], others: list[str], subjects: Mapping[str, Subject]
     ) -> list[str]:
-        """All other members, sorted by when they last answered about the subjects: never first, and ties at random.
+        """All other members, sorted by when they last answered about the subjects.
 
-        A member that can still reach a subject is therefore asked within a few rounds.
+        Members that never answered come first; ties are in random order. A member that can still reach a subject
+        is therefore asked within a few rounds.
         """
         answered_at: dict[str, float] = {}
         for name in names:
--- a/stepknot/membership/isolation.py
+++ b/stepknot/membership/isolation.py
@@ -51,7 +51,7 @@
         self.since, self.reason = now, reason
 
     def shift(self, gap: float) -> None:
-        """Take the length of a process pause out of the time since the isolation began."""
+        """Shift the start of the isolation by the length of a process pause, so that the pause does not count."""
         self.since += gap
 
     def _end(self, now: float) -> None:
--- a/stepknot/membership/join.py
+++ b/stepknot/membership/join.py
@@ -77,7 +77,7 @@
         self._rng = rng
 
     def answer(self, now: float, sender: Record) -> None:
-        """Answer with the record of the sender's name first, followed by some other records up to a fixed number.
+        """Answer with this member's record of the sender's name, followed by some other records up to a fixed number.
 
         Anti-entropy sends the remaining records.
         """
--- a/stepknot/membership/local_health.py
+++ b/stepknot/membership/local_health.py
@@ -14,7 +14,7 @@
 
 
 class LocalHealth:
-    """Detects pauses of this process, and takes their length out of the times kept for other members."""
+    """Detects pauses of this process, and shifts the stored times of observations so that pauses do not count."""
 
     def __init__(
         self,
--- a/stepknot/membership/model.py
+++ b/stepknot/membership/model.py
@@ -86,7 +86,7 @@
     gossip_rounds: int = 2
     tombstone: float = 600.0  # seconds for which members that died or left are remembered
     max_records: int = 1024  # further records are counted and rejected
-    rate: float = 2000.0  # bytes sent a second, as a long-term limit
+    rate: float = 2000.0  # maximum of bytes sent a second, as a long-term average
     burst: float = 16_000.0  # bytes that may be sent in addition after idle times
 
     @property
--- a/stepknot/membership/outbox.py
+++ b/stepknot/membership/outbox.py
@@ -9,9 +9,10 @@
 from stepknot.membership.own_member import OwnMember
 from stepknot.membership.send_budget import SendBudget
 
-# Send budget, in datagrams, that a probe request must leave unused. A repair by anti-entropy takes one datagram and
-# must leave one, so this reserve is larger. Repairs end an update storm: when probe requests were sent first, a fleet
-# that lost a third of its members at once never stopped sending probe requests.
+# Number of datagrams that the send budget must still allow after a probe request. After a repair by anti-entropy it
+# must still allow one. The number here is larger, so that repairs are sent first when the budget is low. Repairs end an
+# update storm: when probe requests were sent first, a fleet that lost a third of its members at once never stopped
+# sending probe requests.
 PROBE_REQUEST_RESERVE = 3
 MAX_RESERVE_SHARE = 0.5  # limits the reserve, as a share of the burst, if the burst is small
 
--- a/stepknot/membership/protocol.py
+++ b/stepknot/membership/protocol.py
@@ -178,7 +178,7 @@
             self.outbox.send(now, sender.address, wire.Gossip([known]))
             return False
         if sender != known:
-            self.view.merge(now, sender, "reported by the member itself")
+            self.view.merge(now, sender, "the member itself reported this state")
         return sender.name in self.table.records  # a full table rejects new senders
 
     def _on_join_request(self, now: float, sender: Record, _: wire.JoinRequest) -> None:
--- a/stepknot/membership/refutation.py
+++ b/stepknot/membership/refutation.py
@@ -67,14 +67,14 @@
         self.refute(now, claim)
 
     def on_own_name(self, now: float, record: Record) -> None:
-        """Handle a record of the own name that came in gossip."""
+        """Handle a record that was received in gossip and has this member's own name."""
         if record.process == self._own.record.process:
             self.refute(now, record)
         else:
             self.on_name_conflict(now, record)
 
     def on_name_conflict(self, now: float, record: Record) -> None:
-        """Handle another record of the own name: the process with the greater (epoch, birth) keeps the name."""
+        """Handle another record with this member's name: the process with the greater (epoch, birth) keeps the name."""
         if record.process <= self._own.record.process:
             self.refute(now, record)
             is_older = record.process != self._own.record.process
--- a/stepknot/membership/subject.py
+++ b/stepknot/membership/subject.py
@@ -35,7 +35,7 @@
         return now - max(self.last_sign, self.observed_since)
 
     def shift(self, gap: float) -> None:
-        """Take the length of a pause of the observer's own process out of all elapsed times."""
+        """Shift all times by the length of a pause of the observer's process, so that the pause does not count."""
         self.observed_since += gap
         self.last_received += gap
         self.last_sign += gap
--- a/stepknot/membership/suspicion.py
+++ b/stepknot/membership/suspicion.py
@@ -42,7 +42,10 @@
         return unresponsive
 
     def possible_helpers(self, now: float) -> list[str]:
-        """Members that may be asked: they are alive, and not unresponsive here for long enough to be suspect."""
+        """Members that may be asked for an indirect probe.
+
+        These are the members in state ALIVE, except subjects without a sign of life here for over `suspect_after`.
+        """
         return [
             record.name
             for record in self._view.others_present(self._view.own_name)
@@ -120,7 +123,7 @@
 
 
 def is_confirmed_by_many(subject: Subject, settings: MembershipSettings, helper_count: int) -> bool:
-    """Whether enough helpers for a failure of many members confirmed, within the last `dead_after` seconds.
+    """Whether as many helpers confirmed in the last `dead_after` seconds as a death takes when many members failed.
 
     A partition that only a few members can reach across looks like a failure of many members.
     """
@@ -136,4 +139,4 @@
 def _evidence(subject: Subject, seconds: float) -> str:
     last = f"last: {subject.last_sign_source}" if subject.last_sign_source else "none before"
     confirming = ", ".join(sorted(subject.confirmations)) or "no helper"
-    return f"no sign of life for {seconds:.2f} s ({last}); confirmed by {confirming}"
+    return f"no sign of life for {seconds:.2f} s ({last}); absence of a newer sign confirmed by {confirming}"
--- a/stepknot/membership/table.py
+++ b/stepknot/membership/table.py
@@ -54,8 +54,9 @@
         self.identities: dict[int, str] = {}  # names by the identity of the record's process
         self.known: dict[str, KnownProcess] = {}
         self.counts = [0] * len(State)  # records by state
-        self.digest = 0  # of all present records
-        self.fingerprints: dict[str, int] = {}  # of all records, including absent members'
+        self.digest = 0  # of the records in `present`
+        # Of all records, including those of members that are dead or left.
+        self.fingerprints: dict[str, int] = {}
         self.version = 0
         self.changes: list[StateChange] = []  # changes since the last `take_changes`
         self.refused = 0  # records that were rejected because the table was full
--- a/stepknot/membership/wire.py
+++ b/stepknot/membership/wire.py
@@ -87,7 +87,7 @@
 
 
 class JoinRequest(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """Asks for admission to the fleet. The answer contains the record of the sender's own name first."""
+    """Asks for admission to the fleet. The answer begins with the fleet's record of the requester's name."""
 
 
 class AntiEntropyRequest(msgspec.Struct, array_like=True, tag=6, frozen=True):
--- a/tests/membership/test_peers_view.py
+++ b/tests/membership/test_peers_view.py
@@ -29,7 +29,9 @@
     )
     assert own["self"] and not own["watched"] and not own["reachable"] and own["heard"] is None
     assert (
-        other["watched"] and not other["self"] and other["why"] == "reported by the member itself"
+        other["watched"]
+        and not other["self"]
+        and other["why"] == "the member itself reported this state"
     )
 
 
