--- a/stepknot/benchlink.py
+++ b/stepknot/benchlink.py
@@ -279,7 +279,8 @@
             settings = parse_settings(fields["profile-data"])
         except (KeyError, ValueError, TypeError, IndexError, AttributeError) as error:
             raise WireError(
-                f"a field of profile-data in a START item is missing or malformed: {type(error).__name__}: {error}"
+                "a field of profile-data in a START item is missing or malformed:"
+                f" {type(error).__name__}: {error}"
             ) from error
         self.aggregators[fields["i"]] = Aggregator(settings, fields["prng"])
         batch.events[fields["i"]] = []
--- a/stepknot/decisions/capsule.py
+++ b/stepknot/decisions/capsule.py
@@ -18,14 +18,14 @@
 # base wait of all classes. A queue of that length is acceptable to the class with the shortest objective; the
 # rest of the wait allows for the variation of work between calls.
 BETA_SHARE = 0.65
-# Lower bound of beta. It lets even a very slow server get a few parts, because only the responses to them show
-# whether the server has become faster.
+# Lower bound of beta. It lets even a very slow server get a few parts, because only the responses to them
+# show whether the server has become faster.
 MIN_BETA = 2.0
 # Alpha as a fraction of beta. The wait shrinks above alpha. Queries that need all parts keep their full wait
 # and are rejected at beta.
 ALPHA_SHARE = 0.8
-# A part is bypassed if the time left is less than this many mean response times. The margin is for clients that
-# give up early, for which the part's work would be wasted.
+# A part is bypassed if the time left is less than this many mean response times. The margin is for clients
+# that give up early, for which the part's work would be wasted.
 MIN_TIME_LEFT_IN_MEANS = 1.5
 AIM_MARGIN = 0.05  # fraction of `aim` reserved for the way to the client; the base wait is the rest
 # Mean response time before any response, as a fraction of the shortest base wait.
@@ -120,10 +120,10 @@
     def record_response(
         self, capsule: Capsule, elapsed: float, in_flight: float, weight: float
     ) -> None:
-        """Update a capsule's moving averages with a response time and the number of calls in flight at the send.
+        """Update a capsule's moving averages with a response time and the calls in flight at the send.
 
-        The n-th response has the weight 1/n, or the given weight if that is greater. The average is therefore a
-        plain mean of the first responses, and an exponential moving average later.
+        The n-th response has the weight 1/n, or the given weight if that is greater. The average is therefore
+        a plain mean of the first responses, and an exponential moving average later.
         """
         capsule.responses += 1
         capsule.last_response_at = self._turn.now
--- a/stepknot/decisions/hedging.py
+++ b/stepknot/decisions/hedging.py
@@ -51,7 +51,9 @@
         self._failures, self._outliers = failures, outliers
 
     def connect(self, send_again: SendAgain, in_flight: Mapping[AttemptKey, Attempt]) -> None:
-        """Set the function that sends hedges; called before the first event. Hedges are watched like first attempts.
+        """Set the function that sends hedges, which are watched like first attempts.
+
+        It is called before the first event.
 
         Args:
             send_again: Sends a part to another replica, if that is allowed.
