--- a/bench/trace_packages/leases.py
+++ b/bench/trace_packages/leases.py
@@ -7,12 +7,11 @@
 
 import dataclasses
 import random
-import re
 from hashlib import blake2b
 
 import msgspec
 
-from bench.trace_packages.trace import Trace, Value
+from bench.trace_packages.trace import Trace, Value, recorded_text
 from stepknot.broker.voter_store import encode_state
 from stepknot.discovery.drained_endpoints import DrainedEndpoints
 from stepknot.interface import ListKind, ListReceived, ServerEntry, ServerState
@@ -33,14 +32,12 @@
 # A message as it is now, as a pattern for the whole text, and the text as it was when `EXPECTED` was recorded.
 RECORDED_TEXTS = (
     (
-        re.compile("the lease expired before a majority of voters renewed it"),
+        r"\Athe lease expired before a majority of voters renewed it\Z",
         "its lease ran out before a majority renewed it",
     ),
-    (re.compile("the broker is shutting down"), "told to stop"),
+    (r"\Athe broker is shutting down\Z", "told to stop"),
     (
-        re.compile(
-            r"(\w+) holds a later record \(by epoch and step\) than the one that this epoch continues from"
-        ),
+        r"\A(\w+) holds a later record \(by epoch and step\) than the one that this epoch continues from\Z",
         r"\1 holds a later record than this epoch began with",
     ),
 )
@@ -48,11 +45,7 @@
 
 def as_recorded(value: Value) -> Value:
     """The value as it was recorded: a reworded message is translated, any other value is unchanged."""
-    if isinstance(value, str):
-        for pattern, recorded in RECORDED_TEXTS:
-            if match := pattern.fullmatch(value):
-                return match.expand(recorded)
-    return value
+    return recorded_text(value, RECORDED_TEXTS) if isinstance(value, str) else value
 
 
 class RecordedFleet(Fleet):
--- a/bench/trace_packages/membership.py
+++ b/bench/trace_packages/membership.py
@@ -3,13 +3,12 @@
 from __future__ import annotations
 
 import random
-import re
 from collections.abc import Callable
 from typing import Any
 
 import orjson
 
-from bench.trace_packages.trace import Trace
+from bench.trace_packages.trace import Trace, recorded_text
 from stepknot.broker.membership_driver import MembershipDriver
 from stepknot.config.membership import Peers
 from stepknot.membership import wire
@@ -61,9 +60,7 @@
 
 def as_recorded(reason: str) -> str:
     """A reason in the text with which the digest was recorded."""
-    for pattern, recorded in RECORDED_TEXTS:
-        reason = re.sub(pattern, recorded, reason)
-    return reason
+    return recorded_text(reason, RECORDED_TEXTS)
 
 
 def encode_view(view: dict[str, Any]) -> bytes:
--- a/bench/trace_packages/subsets.py
+++ b/bench/trace_packages/subsets.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import random
-import re
 import tempfile
 from dataclasses import astuple, replace
 from pathlib import Path
@@ -11,7 +10,7 @@
 
 import orjson
 
-from bench.trace_packages.trace import Trace
+from bench.trace_packages.trace import Trace, recorded_text
 from stepknot.broker.subset_driver import SubsetDriver
 from stepknot.config.errors import ConfigError
 from stepknot.discovery.drained_endpoints import DrainedEndpoints
@@ -63,18 +62,21 @@
 
 # Problems of endpoint lists: the present text as a pattern, and the replacement that gives the recorded text.
 RECORDED_PROBLEMS = (
-    (r"expected at most (\d+) nodes, not \d+", r"expected \1 at the most"),
-    (r"expected each address once, but (\S+) is listed twice", r"\1 is listed twice"),
-    (r'expected a JSON object with the list "boxes": (.*)', r"expected a JSON list of boxes: \1"),
-    (r'(.*): "boxes" is not a list', r"\1: boxes is no list"),
-    (r"expected an object, not \w+", r"expected an object"),
-    (r"unknown key (\w+); expected keys among (.*)", r"unknown key \1; known: \2"),
+    (r"\Aexpected at most (\d+) nodes, not \d+\Z", r"expected \1 at the most"),
+    (r"\Aexpected each address once, but (\S+) is listed twice\Z", r"\1 is listed twice"),
     (
-        r"expected cell to be an integer of 0 or more, not (.*)",
+        r'\Aexpected a JSON object with the list "boxes": (.*)\Z',
+        r"expected a JSON list of boxes: \1",
+    ),
+    (r'\A(.*): "boxes" is not a list\Z', r"\1: boxes is no list"),
+    (r"\Aexpected an object, not \w+\Z", r"expected an object"),
+    (r"\Aunknown key (\w+); expected keys among (.*)\Z", r"unknown key \1; known: \2"),
+    (
+        r"\Aexpected cell to be an integer of 0 or more, not (.*)\Z",
         r"expected a cell of 0 or more, not \1",
     ),
     (
-        r"expected up_since as a number of seconds since 1970, not (.*)",
+        r"\Aexpected up_since as a number of seconds since 1970, not (.*)\Z",
         r"expected up_since in seconds since 1970, not \1",
     ),
 )
@@ -82,9 +84,7 @@
 
 def recorded_problem(text: str) -> str:
     """Return the text that the recorded digest contains for a problem of an endpoint list."""
-    for pattern, recorded in RECORDED_PROBLEMS:
-        text = re.sub(rf"\A{pattern}\Z", recorded, text)
-    return text
+    return recorded_text(text, RECORDED_PROBLEMS)
 
 
 def recorded_reason(reason: dict[str, Any] | None) -> dict[str, Any] | None:
--- a/bench/trace_packages/trace.py
+++ b/bench/trace_packages/trace.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 import hashlib
+import re
+from collections.abc import Sequence
 from enum import Enum
 
 Value = None | bool | int | float | str | bytes | Enum
@@ -27,6 +29,19 @@
         return self._hash.hexdigest()
 
 
+def recorded_text(text: str, recorded_texts: Sequence[tuple[str, str]]) -> str:
+    """A message with the text that it had when a digest was recorded.
+
+    Args:
+        text: The present text.
+        recorded_texts: Regular expressions of present texts, each with the replacement that gives the recorded text.
+            All of them are applied, in this order; a text that none of them matches is unchanged.
+    """
+    for pattern, replacement in recorded_texts:
+        text = re.sub(pattern, replacement, text)
+    return text
+
+
 def _encode(value: object) -> bytes:
     """One value, with its kind and length, so that no two sequences read alike."""
     if value is None:
--- a/bench/trace_packages/zones.py
+++ b/bench/trace_packages/zones.py
@@ -3,10 +3,9 @@
 from __future__ import annotations
 
 import random
-import re
 from dataclasses import replace
 
-from bench.trace_packages.trace import Trace
+from bench.trace_packages.trace import Trace, recorded_text
 from stepknot.interface import Outcome, ServerEntry, ServerState
 from stepknot.zones.failover import ZoneFailover
 from stepknot.zones.settings import FailoverSettings, WarmUp, ZoneSettings, derive_settings
@@ -28,22 +27,19 @@
 
 # Reasons of state changes: the present text as a pattern, and the text that the recorded digest contains.
 RECORDED_REASONS = (
-    (re.compile(r"initial state: no part has failed yet"), "nothing was seen yet"),
-    (re.compile(r"the zone served a trial part"), "a trial was served"),
+    (r"\Ainitial state: no part has failed yet\Z", "nothing was seen yet"),
+    (r"\Athe zone served a trial part\Z", "a trial was served"),
     (
-        re.compile(r"parts failed again while the zone was recovering"),
+        r"\Aparts failed again while the zone was recovering\Z",
         "it failed again on its way back",
     ),
-    (re.compile(r"the zone gets its full baseline again"), "all of what it had is back"),
+    (r"\Athe zone gets its full baseline again\Z", "all of what it had is back"),
 )
 
 
 def recorded_reason(reason: str) -> str:
     """Return the text that the recorded digest contains for a reason."""
-    for pattern, recorded in RECORDED_REASONS:
-        if pattern.fullmatch(reason):
-            return recorded
-    return reason
+    return recorded_text(reason, RECORDED_REASONS)
 
 
 def record(trace: Trace) -> None:
--- a/stepknot/interface.py
+++ b/stepknot/interface.py
@@ -74,9 +74,8 @@
     repeat_window: float = 0.0
     need: float = 1.0  # minimum share of the weight for a complete answer
     floor: float = 1.0  # minimum share of the weight for any answer
-    partial_value: float = (
-        0.0  # an incomplete answer earns `worth` times this times its share / need
-    )
+    # An incomplete answer earns `worth` times this times its share / need.
+    partial_value: float = 0.0
     second_step_parts: int = 0
 
     @property
